--- a/burdockbay-app/src/main/java/org/burdockbay/app/command/ReferenceCommand.java
+++ b/burdockbay-app/src/main/java/org/burdockbay/app/command/ReferenceCommand.java
@@ -39,7 +39,10 @@
       text.append("| key | allowed | where missing | meaning |\n| --- | --- | --- | --- |\n");
       for (SettingDefinition setting : section.settings()) {
         String fallback =
-            setting.fallback().map(value -> value.isEmpty() ? "empty" : value).orElse("required");
+            setting
+                .defaultValue()
+                .map(value -> value.isEmpty() ? "empty" : value)
+                .orElse("required");
         text.append("| `").append(setting.key()).append("` | ");
         text.append(setting.type().allowed()).append(" | ").append(fallback).append(" | ");
         text.append(setting.help()).append(" |\n");
--- a/burdockbay-bench/src/main/java/org/burdockbay/bench/load/LoadMix.java
+++ b/burdockbay-bench/src/main/java/org/burdockbay/bench/load/LoadMix.java
@@ -26,12 +26,12 @@
               true,
               "A kind of job of the load.",
               List.of(
-                  key("job").text(DispatchSchema.NAME_PATTERN, "a name").help("Name of the job."),
-                  key("share").ratio(0, 1000).help("Share of the arrivals."),
-                  key("tasks-min").whole(1, 1000).help("Fewest tasks."),
-                  key("tasks-max").whole(1, 1000).help("Most tasks."),
-                  key("run-min-ms").whole(1, 60_000).help("Shortest run time."),
-                  key("run-max-ms").whole(1, 60_000).help("Longest run time."))));
+                  key("job").text(DispatchSchema.NAME_PATTERN, "a name").build("Name of the job."),
+                  key("share").ratio(0, 1000).build("Share of the arrivals."),
+                  key("tasks-min").wholeNumber(1, 1000).build("Fewest tasks."),
+                  key("tasks-max").wholeNumber(1, 1000).build("Most tasks."),
+                  key("run-min-ms").wholeNumber(1, 60_000).build("Shortest run time."),
+                  key("run-max-ms").wholeNumber(1, 60_000).build("Longest run time."))));
 
   /** One kind of job; run times are spread evenly on a logarithmic scale. */
   public record Kind(
@@ -55,10 +55,10 @@
                     new Kind(
                         section.text("job"),
                         section.ratio("share"),
-                        section.whole("tasks-min"),
-                        section.whole("tasks-max"),
-                        section.whole("run-min-ms"),
-                        section.whole("run-max-ms")))
+                        section.wholeNumber("tasks-min"),
+                        section.wholeNumber("tasks-max"),
+                        section.wholeNumber("run-min-ms"),
+                        section.wholeNumber("run-max-ms")))
             .toList());
   }
 }
--- a/burdockbay-bench/src/main/java/org/burdockbay/bench/slope/Slopes.java
+++ b/burdockbay-bench/src/main/java/org/burdockbay/bench/slope/Slopes.java
@@ -108,7 +108,7 @@
     dispatcher.handle(new DispatchEvent.EpochGranted(9), now);
     for (int i = 0; i < runners; i++) {
       dispatcher.handle(
-          new DispatchEvent.RunnerInventoried(new RunnerId("r" + i, 1), 9, List.of()), now);
+          new DispatchEvent.RunnerFenced(new RunnerId("r" + i, 1), 9, List.of()), now);
     }
     dispatcher.handle(new DispatchEvent.Tick(), now);
     Deque<DispatchEffect.StartAttempt> running = new ArrayDeque<>();
@@ -194,7 +194,7 @@
   }
 
   private static void apply(ControlState state, LedgerRequest request) {
-    state.apply(new ControlCommand.ToLedger(new LedgerCommand("north", request)), 1);
+    state.apply(new ControlCommand.LedgerOperation(new LedgerCommand("north", request)), 1);
   }
 
   private void membership(int hosts) {
--- a/burdockbay-core/src/main/java/org/burdockbay/core/agreement/Bytes.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/agreement/Bytes.java
@@ -30,7 +30,7 @@
   }
 
   /** Returns these bytes followed by others. */
-  public Bytes plus(Bytes more) {
+  public Bytes concat(Bytes more) {
     byte[] joined = Arrays.copyOf(content, content.length + more.content.length);
     System.arraycopy(more.content, 0, joined, content.length, more.content.length);
     return new Bytes(joined);
--- a/burdockbay-core/src/main/java/org/burdockbay/core/agreement/LeaderReplication.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/agreement/LeaderReplication.java
@@ -9,10 +9,10 @@
 /** What a leader sends to the other members, and what it learns from their answers. */
 final class LeaderReplication {
 
-  private static final int ENTRIES_A_MESSAGE = 512;
-  private static final int BYTES_A_MESSAGE = 512 * 1024;
-  private static final int ENTRIES_IN_FLIGHT = 8_192;
-  private static final int CHUNK_BYTES = 256 * 1024;
+  private static final int MAX_ENTRIES_PER_MESSAGE = 512;
+  private static final int MAX_BYTES_PER_MESSAGE = 512 * 1024;
+  private static final int MAX_ENTRIES_IN_FLIGHT = 8_192;
+  private static final int SNAPSHOT_CHUNK_BYTES = 256 * 1024;
 
   private final RaftNode node;
   private final RaftLog log;
@@ -25,7 +25,7 @@
     this.timing = timing;
   }
 
-  void begin(VoterId self, long now) {
+  void start(VoterId self, long now) {
     peers.clear();
     for (VoterId member : log.voters().members()) {
       if (!member.equals(self)) {
@@ -35,13 +35,13 @@
   }
 
   /** Returns whether a quorum, this leader included, was heard of within the election timeout. */
-  boolean heardFromQuorum(VoterId self, long now) {
+  boolean hasQuorumContact(VoterId self, long now) {
     return log.voters()
-        .quorumOf(
+        .hasQuorum(
             voter -> {
               PeerProgress peer = peers.get(voter);
               return voter.equals(self)
-                  || (peer != null && now - peer.lastAckAt < timing.electionMillis());
+                  || (peer != null && now - peer.lastAckAt < timing.electionTimeoutMillis());
             });
   }
 
@@ -50,16 +50,17 @@
     for (Map.Entry<VoterId, PeerProgress> entry : peers.entrySet()) {
       PeerProgress peer = entry.getValue();
       boolean stalled =
-          peer.nextIndex > peer.matchIndex + 1 && now - peer.lastProgressAt >= timing.stallMillis();
+          peer.nextIndex > peer.matchIndex + 1
+              && now - peer.lastProgressAt >= timing.resendTimeoutMillis();
       if (stalled) {
         peer.nextIndex = peer.matchIndex + 1;
         peer.lastProgressAt = now;
       }
-      if (peer.snapshot != null && now - peer.chunkSentAt >= timing.stallMillis()) {
+      if (peer.snapshot != null && now - peer.chunkSentAt >= timing.resendTimeoutMillis()) {
         sendChunk(entry.getKey(), peer, now);
       }
-      if (now - peer.lastSentAt >= timing.heartbeatMillis()) {
-        heartbeat(entry.getKey(), peer, now);
+      if (now - peer.lastSentAt >= timing.heartbeatIntervalMillis()) {
+        sendHeartbeat(entry.getKey(), peer, now);
       }
     }
   }
@@ -76,7 +77,7 @@
     peers.keySet().retainAll(log.voters().members());
   }
 
-  void appendReplied(RaftMessage.AppendReply reply, long now) {
+  void handleAppendReply(RaftMessage.AppendReply reply, long now) {
     PeerProgress peer = peers.get(reply.from());
     if (peer == null) {
       return;
@@ -96,7 +97,7 @@
     }
   }
 
-  void snapshotReplied(RaftMessage.SnapshotReply reply, long now) {
+  void handleSnapshotReply(RaftMessage.SnapshotReply reply, long now) {
     PeerProgress peer = peers.get(reply.from());
     if (peer == null) {
       return;
@@ -120,10 +121,10 @@
             .map(voter -> voter.equals(self) ? ownSyncedIndex : matchIndex(voter))
             .sorted(Comparator.reverseOrder())
             .toList();
-    return synced.isEmpty() ? 0 : synced.get(log.voters().quorum() - 1);
+    return synced.isEmpty() ? 0 : synced.get(log.voters().quorumSize() - 1);
   }
 
-  Optional<VoterId> bestSuccessor(VoterId self) {
+  Optional<VoterId> transferTarget(VoterId self) {
     return log.voters().voters().stream()
         .filter(voter -> !voter.equals(self))
         .max(Comparator.comparingLong(this::matchIndex))
@@ -145,9 +146,10 @@
       return;
     }
     while (peer.nextIndex <= log.lastIndex()
-        && peer.nextIndex - peer.matchIndex <= ENTRIES_IN_FLIGHT) {
-      List<LogEntry> entries = log.from(peer.nextIndex, ENTRIES_A_MESSAGE, BYTES_A_MESSAGE);
-      append(member, peer.nextIndex - 1, entries, node.commitIndex());
+        && peer.nextIndex - peer.matchIndex <= MAX_ENTRIES_IN_FLIGHT) {
+      List<LogEntry> entries =
+          log.entriesFrom(peer.nextIndex, MAX_ENTRIES_PER_MESSAGE, MAX_BYTES_PER_MESSAGE);
+      sendAppend(member, peer.nextIndex - 1, entries, node.commitIndex());
       if (peer.nextIndex == peer.matchIndex + 1) {
         peer.lastProgressAt = now;
       }
@@ -157,14 +159,14 @@
   }
 
   /** Sends a heartbeat at the point up to which the member is known to agree. */
-  private void heartbeat(VoterId member, PeerProgress peer, long now) {
+  private void sendHeartbeat(VoterId member, PeerProgress peer, long now) {
     peer.lastSentAt = now;
     boolean known = peer.matchIndex >= log.baseIndex();
     long agreed = known ? peer.matchIndex : 0;
-    append(member, agreed, List.of(), Math.min(node.commitIndex(), agreed));
+    sendAppend(member, agreed, List.of(), Math.min(node.commitIndex(), agreed));
   }
 
-  private void append(VoterId member, long prevIndex, List<LogEntry> entries, long commit) {
+  private void sendAppend(VoterId member, long prevIndex, List<LogEntry> entries, long commit) {
     long prevTerm = prevIndex == 0 ? 0 : log.term(prevIndex);
     node.send(
         new RaftMessage.AppendRequest(
@@ -176,7 +178,7 @@
     if (whole == null) {
       return;
     }
-    int to = Math.min(whole.data().size(), peer.snapshotOffset + CHUNK_BYTES);
+    int to = Math.min(whole.data().size(), peer.snapshotOffset + SNAPSHOT_CHUNK_BYTES);
     Snapshot part =
         new Snapshot(
             whole.index(),
--- a/burdockbay-core/src/main/java/org/burdockbay/core/agreement/RaftLog.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/agreement/RaftLog.java
@@ -12,7 +12,7 @@
   private ArrayList<LogEntry> entries = new ArrayList<>();
   private long baseIndex;
   private long baseTerm;
-  private long baseTime;
+  private long baseTimeMillis;
 
   RaftLog(RecoveredLog recovered) {
     recovered.snapshot().ifPresent(this::reset);
@@ -31,8 +31,8 @@
     return entries.isEmpty() ? baseTerm : entries.getLast().term();
   }
 
-  long lastTime() {
-    return entries.isEmpty() ? baseTime : entries.getLast().timeMillis();
+  long lastTimeMillis() {
+    return entries.isEmpty() ? baseTimeMillis : entries.getLast().timeMillis();
   }
 
   /** Returns the term of an entry, or -1 if it is not known here. */
@@ -51,7 +51,7 @@
   }
 
   /** Returns entries from an index on, up to the given count and size in bytes. */
-  List<LogEntry> from(long index, int count, int bytes) {
+  List<LogEntry> entriesFrom(long index, int count, int bytes) {
     List<LogEntry> part = new ArrayList<>();
     int size = 0;
     for (long i = index; i <= lastIndex() && part.size() < count && size < bytes; i++) {
@@ -104,7 +104,7 @@
     voterSets.put(index, voters);
     baseIndex = index;
     baseTerm = base.term();
-    baseTime = base.timeMillis();
+    baseTimeMillis = base.timeMillis();
   }
 
   /** Replaces the whole log by a snapshot. */
@@ -114,7 +114,7 @@
     voterSets.put(snapshot.index(), snapshot.voters());
     baseIndex = snapshot.index();
     baseTerm = snapshot.term();
-    baseTime = snapshot.timeMillis();
+    baseTimeMillis = snapshot.timeMillis();
   }
 
   /** Returns the members; a change counts from its entry on, committed or not. */
--- a/burdockbay-core/src/main/java/org/burdockbay/core/agreement/RaftMessage.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/agreement/RaftMessage.java
@@ -24,8 +24,8 @@
       VoterId from,
       VoterId to,
       long term,
-      long lastIndex,
-      long lastTerm,
+      long lastLogIndex,
+      long lastLogTerm,
       boolean preVote,
       boolean transfer)
       implements RaftMessage {}
@@ -39,8 +39,8 @@
       VoterId from,
       VoterId to,
       long term,
-      long prevIndex,
-      long prevTerm,
+      long prevLogIndex,
+      long prevLogTerm,
       List<LogEntry> entries,
       long commitIndex)
       implements RaftMessage {
--- a/burdockbay-core/src/main/java/org/burdockbay/core/agreement/RaftNode.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/agreement/RaftNode.java
@@ -22,34 +22,34 @@
 public final class RaftNode {
 
   /** Applied entries retained after a snapshot so that lagging members can catch up without it. */
-  private static final int TRAILING_ENTRIES = 2_000;
+  private static final int MAX_TRAILING_ENTRIES = 2_000;
 
   /** Size of the commands in the retained entries at which no older entry is retained. */
-  private static final long TRAILING_BYTES = 1024 * 1024;
+  private static final long MAX_TRAILING_BYTES = 1024 * 1024;
 
   /** Number of entries applied since the last snapshot at which a new one is due. */
-  static final long ENTRIES_TO_COMPACT = 10_000;
+  static final long COMPACTION_THRESHOLD_ENTRIES = 10_000;
 
   /** Size of the commands applied since the last snapshot at which a new one is due. */
-  static final long BYTES_TO_COMPACT = 4 * 1024 * 1024;
+  static final long COMPACTION_THRESHOLD_BYTES = 4 * 1024 * 1024;
 
   private final VoterId self;
   private final RaftTiming timing;
   private final RaftLog log;
   private final SplittableRandom random;
   private final LeaderReplication replication;
-  private final Deque<PendingPersist> persisting = new ArrayDeque<>();
+  private final Deque<PendingPersist> pendingPersists = new ArrayDeque<>();
   private final Set<VoterId> votes = new HashSet<>();
   private List<RaftEffect> effects = new ArrayList<>();
-  private List<RaftMessage> afterSync = new ArrayList<>();
+  private List<RaftMessage> messagesAwaitingSync = new ArrayList<>();
 
   private HardState hardState;
   private boolean hardStateChanged;
   private OptionalLong truncateFrom = OptionalLong.empty();
-  private List<LogEntry> unsaved = new ArrayList<>();
-  private @Nullable Snapshot unsavedSnapshot;
+  private List<LogEntry> unpersistedEntries = new ArrayList<>();
+  private @Nullable Snapshot unpersistedSnapshot;
   private Optional<Snapshot> snapshot;
-  private @Nullable IncomingSnapshot incoming;
+  private @Nullable IncomingSnapshot incomingSnapshot;
 
   private RaftRole role = RaftRole.FOLLOWER;
   private Optional<VoterId> leader = Optional.empty();
@@ -64,20 +64,20 @@
    * The ticket that removes entries last. A write that was queued before it may carry the same
    * entries as a later one; counting it would promise what the removal is about to take away.
    */
-  private long truncatedBy;
+  private long truncationTicket;
 
-  private long electionAt;
-  private long leaderHeardAt = Long.MIN_VALUE / 2;
+  private long electionTimeoutAt;
+  private long lastLeaderContactAt = Long.MIN_VALUE / 2;
 
   /** Whether there was a leader, perhaps this member, since it started. */
-  private boolean leaderKnown;
+  private boolean hasKnownLeader;
 
   /** How often it has campaigned, or put that off, since it started and before any leader. */
-  private int firstCampaigns;
+  private int initialElectionTimeouts;
 
-  private long leaderSince;
-  private long leaderBaseTime;
-  private long transferUntil;
+  private long leaderStartedAt;
+  private long leaderBaseTimeMillis;
+  private long transferTimeoutAt;
   private long now;
 
   /**
@@ -99,7 +99,7 @@
     this.syncedIndex = log.lastIndex();
     this.syncedTerm = hardState.term();
     this.now = now;
-    resetElection();
+    resetElectionTimeout();
   }
 
   /** Handles a message of another member. */
@@ -110,24 +110,24 @@
       return flush();
     }
     switch (message) {
-      case RaftMessage.VoteRequest request -> voteRequested(request);
-      case RaftMessage.VoteReply reply -> voteReplied(reply);
-      case RaftMessage.AppendRequest request -> appendRequested(request);
+      case RaftMessage.VoteRequest request -> handleVoteRequest(request);
+      case RaftMessage.VoteReply reply -> handleVoteReply(reply);
+      case RaftMessage.AppendRequest request -> handleAppendRequest(request);
       case RaftMessage.AppendReply reply -> {
-        if (fromCurrentTerm(reply)) {
-          replication.appendReplied(reply, now);
+        if (checkReplyTerm(reply)) {
+          replication.handleAppendReply(reply, now);
           advanceCommit();
         }
       }
-      case RaftMessage.SnapshotChunk chunk -> chunkReceived(chunk);
+      case RaftMessage.SnapshotChunk chunk -> handleSnapshotChunk(chunk);
       case RaftMessage.SnapshotReply reply -> {
-        if (fromCurrentTerm(reply)) {
-          replication.snapshotReplied(reply, now);
+        if (checkReplyTerm(reply)) {
+          replication.handleSnapshotReply(reply, now);
         }
       }
       case RaftMessage.TimeoutNow timeout -> {
-        if (timeout.term() == hardState.term() && log.voters().votes(self)) {
-          campaign(true);
+        if (timeout.term() == hardState.term() && log.voters().isVoter(self)) {
+          startElection(true);
         }
       }
     }
@@ -138,15 +138,15 @@
   public List<RaftEffect> tick(long time) {
     now = Math.max(now, time);
     if (role == RaftRole.LEADER) {
-      if (!replication.heardFromQuorum(self, now)) {
+      if (!replication.hasQuorumContact(self, now)) {
         // Cut off in silence: without a quorum this leader can commit nothing, and another may be
         // elected on the other side. It must stop answering as leader by itself.
         becomeFollower(hardState.term(), Optional.empty());
       } else {
         replication.tick(now);
       }
-    } else if (now >= electionAt && log.voters().votes(self)) {
-      preCampaign();
+    } else if (now >= electionTimeoutAt && log.voters().isVoter(self)) {
+      startPreVote();
     }
     return flush();
   }
@@ -154,13 +154,13 @@
   /** Takes note that everything up to the ticket is written and synced. */
   public List<RaftEffect> persisted(long ticket, long time) {
     now = Math.max(now, time);
-    while (!persisting.isEmpty() && persisting.peek().ticket <= ticket) {
-      PendingPersist done = persisting.remove();
-      if (done.ticket >= truncatedBy) {
+    while (!pendingPersists.isEmpty() && pendingPersists.peek().ticket <= ticket) {
+      PendingPersist done = pendingPersists.remove();
+      if (done.ticket >= truncationTicket) {
         syncedIndex = Math.max(syncedIndex, done.lastIndex);
       }
-      syncedTerm = Math.max(syncedTerm, done.hardTerm);
-      done.messages.forEach(this::sendSynced);
+      syncedTerm = Math.max(syncedTerm, done.term);
+      done.messages.forEach(this::sendAfterSync);
     }
     if (role == RaftRole.CANDIDATE && syncedTerm == hardState.term()) {
       countVote(self);
@@ -177,10 +177,10 @@
    */
   public OptionalLong propose(Bytes command, long time) {
     now = Math.max(now, time);
-    if (role != RaftRole.LEADER || now < transferUntil) {
+    if (role != RaftRole.LEADER || now < transferTimeoutAt) {
       return OptionalLong.empty();
     }
-    return OptionalLong.of(appendOwn(new EntryContent.Command(command)));
+    return OptionalLong.of(appendAsLeader(new EntryContent.Command(command)));
   }
 
   /**
@@ -192,22 +192,22 @@
   public boolean proposeMembers(VoterSet next, long time) {
     now = Math.max(now, time);
     boolean settled = log.votersIndex() <= commitIndex && log.term(commitIndex) == hardState.term();
-    if (role != RaftRole.LEADER || !settled || !log.voters().adjacent(next)) {
+    if (role != RaftRole.LEADER || !settled || !log.voters().isSingleVoterChange(next)) {
       return false;
     }
-    appendOwn(new EntryContent.Members(next));
+    appendAsLeader(new EntryContent.Members(next));
     return true;
   }
 
   /** Hands leadership to the most advanced other voter; used by a planned stop. */
   public List<RaftEffect> transferLeadership(long time) {
     now = Math.max(now, time);
-    if (role == RaftRole.LEADER && now >= transferUntil) {
+    if (role == RaftRole.LEADER && now >= transferTimeoutAt) {
       replication
-          .bestSuccessor(self)
+          .transferTarget(self)
           .ifPresent(
               successor -> {
-                transferUntil = now + timing.electionMillis();
+                transferTimeoutAt = now + timing.electionTimeoutMillis();
                 send(new RaftMessage.TimeoutNow(self, successor, hardState.term()));
               });
     }
@@ -225,9 +225,9 @@
         new Snapshot(
             appliedIndex, last.term(), last.timeMillis(), log.votersAt(appliedIndex), state);
     snapshot = Optional.of(taken);
-    unsavedSnapshot = taken;
+    unpersistedSnapshot = taken;
     bytesSinceSnapshot = 0;
-    log.compact(log.compactionIndex(appliedIndex, TRAILING_ENTRIES, TRAILING_BYTES));
+    log.compact(log.compactionIndex(appliedIndex, MAX_TRAILING_ENTRIES, MAX_TRAILING_BYTES));
     return flush();
   }
 
@@ -282,8 +282,9 @@
    * Returns whether a new snapshot is due. The limits on entries and bytes bound the replay after a
    * restart and the memory and disk space that the log takes.
    */
-  public boolean compactionDue() {
-    return entriesSinceSnapshot() >= ENTRIES_TO_COMPACT || bytesSinceSnapshot >= BYTES_TO_COMPACT;
+  public boolean isCompactionDue() {
+    return entriesSinceSnapshot() >= COMPACTION_THRESHOLD_ENTRIES
+        || bytesSinceSnapshot >= COMPACTION_THRESHOLD_BYTES;
   }
 
   /** Returns the number of log entries held in memory, applied or not. */
@@ -297,7 +298,7 @@
   }
 
   /** Returns whether the learner holds, synced, all that is committed. */
-  public boolean caughtUp(VoterId learner) {
+  public boolean isCaughtUp(VoterId learner) {
     return role == RaftRole.LEADER
         && log.term(commitIndex) == hardState.term()
         && replication.matchIndex(learner) >= commitIndex;
@@ -311,22 +312,24 @@
     effects.add(new RaftEffect.Send(message));
   }
 
-  private void voteRequested(RaftMessage.VoteRequest request) {
-    boolean leaderAlive = role == RaftRole.LEADER || now - leaderHeardAt < timing.electionMillis();
+  private void handleVoteRequest(RaftMessage.VoteRequest request) {
+    boolean leaderAlive =
+        role == RaftRole.LEADER || now - lastLeaderContactAt < timing.electionTimeoutMillis();
     boolean newerTerm = request.term() > hardState.term();
     if (leaderAlive && !request.transfer()) {
       // A member that lost the leader alone, or was removed, must not unseat a working one.
-      reply(request, false);
+      replyToVoteRequest(request, false);
       return;
     }
     if (newerTerm && !request.preVote()) {
       becomeFollower(request.term(), Optional.empty());
     }
     boolean upToDate =
-        request.lastTerm() > log.lastTerm()
-            || (request.lastTerm() == log.lastTerm() && request.lastIndex() >= log.lastIndex());
+        request.lastLogTerm() > log.lastTerm()
+            || (request.lastLogTerm() == log.lastTerm()
+                && request.lastLogIndex() >= log.lastIndex());
     if (request.preVote()) {
-      reply(request, newerTerm && upToDate);
+      replyToVoteRequest(request, newerTerm && upToDate);
       return;
     }
     boolean free =
@@ -335,29 +338,29 @@
     boolean granted = free && upToDate;
     if (granted && hardState.votedFor().isEmpty()) {
       setHardState(new HardState(hardState.term(), Optional.of(request.from())));
-      resetElection();
+      resetElectionTimeout();
     }
-    reply(request, granted);
+    replyToVoteRequest(request, granted);
   }
 
-  private void reply(RaftMessage.VoteRequest request, boolean granted) {
+  private void replyToVoteRequest(RaftMessage.VoteRequest request, boolean granted) {
     long term = request.preVote() && granted ? request.term() : hardState.term();
     RaftMessage.VoteReply reply =
         new RaftMessage.VoteReply(self, request.from(), term, granted, request.preVote());
     if (granted && !request.preVote()) {
       // A vote that isn't durable could be given again after a crash, to another candidate.
-      afterSync.add(reply);
+      messagesAwaitingSync.add(reply);
     } else {
       send(reply);
     }
   }
 
-  private void voteReplied(RaftMessage.VoteReply reply) {
+  private void handleVoteReply(RaftMessage.VoteReply reply) {
     if (reply.preVote() && reply.granted()) {
       if (role == RaftRole.PRE_CANDIDATE && reply.term() == hardState.term() + 1) {
         votes.add(reply.from());
-        if (log.voters().quorumOf(votes::contains)) {
-          campaign(false);
+        if (log.voters().hasQuorum(votes::contains)) {
+          startElection(false);
         }
       }
       return;
@@ -372,23 +375,23 @@
     }
   }
 
-  private void preCampaign() {
+  private void startPreVote() {
     changeRole(RaftRole.PRE_CANDIDATE, Optional.empty());
     votes.clear();
     votes.add(self);
-    resetElection();
-    if (log.voters().quorumOf(votes::contains)) {
-      campaign(false);
+    resetElectionTimeout();
+    if (log.voters().hasQuorum(votes::contains)) {
+      startElection(false);
     } else {
       requestVotes(hardState.term() + 1, true, false);
     }
   }
 
-  private void campaign(boolean transfer) {
+  private void startElection(boolean transfer) {
     setHardState(new HardState(hardState.term() + 1, Optional.of(self)));
     changeRole(RaftRole.CANDIDATE, Optional.empty());
     votes.clear();
-    resetElection();
+    resetElectionTimeout();
     requestVotes(hardState.term(), false, transfer);
   }
 
@@ -405,26 +408,26 @@
   private void countVote(VoterId voter) {
     votes.add(voter);
     // The own vote counts only once it is synced, as everybody else's.
-    if (votes.contains(self) && log.voters().quorumOf(votes::contains)) {
+    if (votes.contains(self) && log.voters().hasQuorum(votes::contains)) {
       becomeLeader();
     }
   }
 
   private void becomeLeader() {
     changeRole(RaftRole.LEADER, Optional.of(self));
-    leaderKnown = true;
-    leaderSince = now;
-    leaderBaseTime = log.lastTime();
-    transferUntil = 0;
-    replication.begin(self, now);
-    appendOwn(new EntryContent.Noop());
+    hasKnownLeader = true;
+    leaderStartedAt = now;
+    leaderBaseTimeMillis = log.lastTimeMillis();
+    transferTimeoutAt = 0;
+    replication.start(self, now);
+    appendAsLeader(new EntryContent.Noop());
   }
 
   private void becomeFollower(long term, Optional<VoterId> newLeader) {
     if (term > hardState.term()) {
       setHardState(new HardState(term, Optional.empty()));
     }
-    resetElection();
+    resetElectionTimeout();
     changeRole(RaftRole.FOLLOWER, newLeader);
   }
 
@@ -436,35 +439,35 @@
     }
   }
 
-  private boolean fromCurrentTerm(RaftMessage reply) {
+  private boolean checkReplyTerm(RaftMessage reply) {
     if (reply.term() > hardState.term()) {
       becomeFollower(reply.term(), Optional.empty());
     }
     return role == RaftRole.LEADER && reply.term() == hardState.term();
   }
 
-  private boolean followSender(RaftMessage message) {
+  private boolean acceptLeader(RaftMessage message) {
     if (message.term() < hardState.term()) {
       return false;
     }
-    leaderHeardAt = now;
-    leaderKnown = true;
+    lastLeaderContactAt = now;
+    hasKnownLeader = true;
     becomeFollower(message.term(), Optional.of(message.from()));
     return true;
   }
 
-  private void appendRequested(RaftMessage.AppendRequest request) {
-    if (!followSender(request)) {
-      refuseAppend(request, log.lastIndex() + 1);
+  private void handleAppendRequest(RaftMessage.AppendRequest request) {
+    if (!acceptLeader(request)) {
+      rejectAppend(request, log.lastIndex() + 1);
       return;
     }
-    if (request.prevIndex() > log.lastIndex()) {
-      refuseAppend(request, log.lastIndex() + 1);
+    if (request.prevLogIndex() > log.lastIndex()) {
+      rejectAppend(request, log.lastIndex() + 1);
       return;
     }
-    if (request.prevIndex() >= log.baseIndex()
-        && log.term(request.prevIndex()) != request.prevTerm()) {
-      refuseAppend(request, firstOfTerm(request.prevIndex()));
+    if (request.prevLogIndex() >= log.baseIndex()
+        && log.term(request.prevLogIndex()) != request.prevLogTerm()) {
+      rejectAppend(request, firstIndexOfTerm(request.prevLogIndex()));
       return;
     }
     for (LogEntry entry : request.entries()) {
@@ -473,10 +476,10 @@
           truncate(entry.index());
         }
         log.append(entry);
-        unsaved.add(entry);
+        unpersistedEntries.add(entry);
       }
     }
-    long lastNew = request.prevIndex() + request.entries().size();
+    long lastNew = request.prevLogIndex() + request.entries().size();
     commitIndex = Math.max(commitIndex, Math.min(request.commitIndex(), lastNew));
     acknowledge(request.from(), lastNew);
   }
@@ -487,17 +490,18 @@
         new RaftMessage.AppendReply(
             self, to, hardState.term(), true, Math.min(lastNew, syncedIndex)));
     if (lastNew > syncedIndex) {
-      afterSync.add(new RaftMessage.AppendReply(self, to, hardState.term(), true, lastNew));
+      messagesAwaitingSync.add(
+          new RaftMessage.AppendReply(self, to, hardState.term(), true, lastNew));
     }
   }
 
-  private void refuseAppend(RaftMessage.AppendRequest request, long goOnAt) {
+  private void rejectAppend(RaftMessage.AppendRequest request, long goOnAt) {
     send(
         new RaftMessage.AppendReply(
             self, request.from(), hardState.term(), false, Math.max(goOnAt, commitIndex + 1)));
   }
 
-  private long firstOfTerm(long index) {
+  private long firstIndexOfTerm(long index) {
     long term = log.term(index);
     long first = index;
     while (first - 1 > log.baseIndex() && log.term(first - 1) == term) {
@@ -513,13 +517,13 @@
     }
     log.truncateFrom(index);
     syncedIndex = Math.min(syncedIndex, index - 1);
-    truncatedBy = lastTicket + 1;
-    unsaved.removeIf(entry -> entry.index() >= index);
+    truncationTicket = lastTicket + 1;
+    unpersistedEntries.removeIf(entry -> entry.index() >= index);
     truncateFrom = OptionalLong.of(Math.min(index, truncateFrom.orElse(Long.MAX_VALUE)));
   }
 
-  private void chunkReceived(RaftMessage.SnapshotChunk chunk) {
-    if (!followSender(chunk)) {
+  private void handleSnapshotChunk(RaftMessage.SnapshotChunk chunk) {
+    if (!acceptLeader(chunk)) {
       return;
     }
     Snapshot part = chunk.snapshot();
@@ -534,43 +538,44 @@
       acknowledge(chunk.from(), part.index());
       return;
     }
-    if (incoming == null || incoming.index != part.index() || chunk.offset() == 0) {
-      incoming = new IncomingSnapshot(part.index());
+    if (incomingSnapshot == null || incomingSnapshot.index != part.index() || chunk.offset() == 0) {
+      incomingSnapshot = new IncomingSnapshot(part.index());
     }
-    if (chunk.offset() == incoming.data.size()) {
-      incoming.data = incoming.data.plus(part.data());
+    if (chunk.offset() == incomingSnapshot.data.size()) {
+      incomingSnapshot.data = incomingSnapshot.data.concat(part.data());
     }
-    if (incoming.data.size() == chunk.totalSize()) {
-      install(
-          new Snapshot(part.index(), part.term(), part.timeMillis(), part.voters(), incoming.data));
-      incoming = null;
+    if (incomingSnapshot.data.size() == chunk.totalSize()) {
+      installSnapshot(
+          new Snapshot(
+              part.index(), part.term(), part.timeMillis(), part.voters(), incomingSnapshot.data));
+      incomingSnapshot = null;
       acknowledge(chunk.from(), part.index());
     } else {
       send(
           new RaftMessage.SnapshotReply(
-              self, chunk.from(), hardState.term(), part.index(), incoming.data.size()));
+              self, chunk.from(), hardState.term(), part.index(), incomingSnapshot.data.size()));
     }
   }
 
-  private void install(Snapshot installed) {
+  private void installSnapshot(Snapshot installed) {
     log.reset(installed);
     snapshot = Optional.of(installed);
-    unsavedSnapshot = installed;
-    unsaved = new ArrayList<>();
+    unpersistedSnapshot = installed;
+    unpersistedEntries = new ArrayList<>();
     truncateFrom = OptionalLong.empty();
     syncedIndex = 0;
-    truncatedBy = lastTicket + 1;
+    truncationTicket = lastTicket + 1;
     commitIndex = installed.index();
     appliedIndex = installed.index();
     bytesSinceSnapshot = 0;
     effects.add(new RaftEffect.Restore(installed));
   }
 
-  private long appendOwn(EntryContent content) {
-    long time = leaderBaseTime + (now - leaderSince);
+  private long appendAsLeader(EntryContent content) {
+    long time = leaderBaseTimeMillis + (now - leaderStartedAt);
     LogEntry entry = new LogEntry(log.lastIndex() + 1, hardState.term(), time, content);
     log.append(entry);
-    unsaved.add(entry);
+    unpersistedEntries.add(entry);
     return entry.index();
   }
 
@@ -583,7 +588,7 @@
     if (quorumIndex > commitIndex && log.term(quorumIndex) == hardState.term()) {
       commitIndex = quorumIndex;
     }
-    boolean removed = !log.voters().votes(self) && log.votersIndex() <= commitIndex;
+    boolean removed = !log.voters().isVoter(self) && log.votersIndex() <= commitIndex;
     if (removed) {
       becomeFollower(hardState.term(), Optional.empty());
     }
@@ -602,46 +607,53 @@
    * The time doubles with each try: if it is too short for messages and syncs, members that
    * campaign side by side would split the votes for ever.
    */
-  private void resetElection() {
-    long shortest = timing.electionMillis();
-    if (!leaderKnown) {
-      shortest = Math.min(shortest, timing.firstElectionMillis() << Math.min(firstCampaigns, 8));
-      firstCampaigns++;
+  private void resetElectionTimeout() {
+    long shortest = timing.electionTimeoutMillis();
+    if (!hasKnownLeader) {
+      shortest =
+          Math.min(
+              shortest,
+              timing.initialElectionTimeoutMillis() << Math.min(initialElectionTimeouts, 8));
+      initialElectionTimeouts++;
     }
-    electionAt = now + shortest + random.nextLong(shortest);
+    electionTimeoutAt = now + shortest + random.nextLong(shortest);
   }
 
   private void persist() {
     boolean nothing =
-        !hardStateChanged && unsaved.isEmpty() && truncateFrom.isEmpty() && unsavedSnapshot == null;
+        !hardStateChanged
+            && unpersistedEntries.isEmpty()
+            && truncateFrom.isEmpty()
+            && unpersistedSnapshot == null;
     if (nothing) {
-      if (persisting.isEmpty()) {
-        afterSync.forEach(this::sendSynced);
-        afterSync = new ArrayList<>();
-      } else if (!afterSync.isEmpty()) {
-        persisting.peekLast().messages.addAll(afterSync);
-        afterSync = new ArrayList<>();
+      if (pendingPersists.isEmpty()) {
+        messagesAwaitingSync.forEach(this::sendAfterSync);
+        messagesAwaitingSync = new ArrayList<>();
+      } else if (!messagesAwaitingSync.isEmpty()) {
+        pendingPersists.peekLast().messages.addAll(messagesAwaitingSync);
+        messagesAwaitingSync = new ArrayList<>();
       }
       return;
     }
     lastTicket++;
-    persisting.add(new PendingPersist(lastTicket, log.lastIndex(), hardState.term(), afterSync));
+    pendingPersists.add(
+        new PendingPersist(lastTicket, log.lastIndex(), hardState.term(), messagesAwaitingSync));
     effects.add(
         new RaftEffect.Persist(
             lastTicket,
             hardStateChanged ? Optional.of(hardState) : Optional.empty(),
-            Optional.ofNullable(unsavedSnapshot),
+            Optional.ofNullable(unpersistedSnapshot),
             truncateFrom,
-            unsaved));
-    afterSync = new ArrayList<>();
+            unpersistedEntries));
+    messagesAwaitingSync = new ArrayList<>();
     hardStateChanged = false;
-    unsaved = new ArrayList<>();
+    unpersistedEntries = new ArrayList<>();
     truncateFrom = OptionalLong.empty();
-    unsavedSnapshot = null;
+    unpersistedSnapshot = null;
   }
 
   /** Sends a message that waited for a sync, unless the term has moved on meanwhile. */
-  private void sendSynced(RaftMessage message) {
+  private void sendAfterSync(RaftMessage message) {
     boolean stale =
         message.term() != hardState.term()
             || (message instanceof RaftMessage.AppendReply reply && reply.index() > syncedIndex);
@@ -675,5 +687,5 @@
   }
 
   private record PendingPersist(
-      long ticket, long lastIndex, long hardTerm, List<RaftMessage> messages) {}
+      long ticket, long lastIndex, long term, List<RaftMessage> messages) {}
 }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/agreement/RaftTiming.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/agreement/RaftTiming.java
@@ -3,13 +3,18 @@
 /**
  * Times of a group, in milliseconds.
  *
- * @param heartbeatMillis between heartbeats of the leader
- * @param electionMillis shortest silence before a member campaigns; the longest is twice that
- * @param firstElectionMillis the same for a member that hasn't heard of any leader since it started
- * @param stallMillis silence of a member before entries are sent to it again
+ * @param heartbeatIntervalMillis between heartbeats of the leader
+ * @param electionTimeoutMillis shortest silence before a member campaigns; the longest is twice
+ *     that
+ * @param initialElectionTimeoutMillis the same for a member that hasn't heard of any leader since
+ *     it started
+ * @param resendTimeoutMillis silence of a member before entries are sent to it again
  */
 public record RaftTiming(
-    long heartbeatMillis, long electionMillis, long firstElectionMillis, long stallMillis) {
+    long heartbeatIntervalMillis,
+    long electionTimeoutMillis,
+    long initialElectionTimeoutMillis,
+    long resendTimeoutMillis) {
 
   /** Times for round trips of a few milliseconds. */
   public static final RaftTiming DEFAULT = new RaftTiming(200, 600, 150, 400);
--- a/burdockbay-core/src/main/java/org/burdockbay/core/agreement/VoterSet.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/agreement/VoterSet.java
@@ -23,12 +23,12 @@
   }
 
   /** Returns the number of voters that form a quorum. */
-  public int quorum() {
+  public int quorumSize() {
     return voters.size() / 2 + 1;
   }
 
   /** Returns whether the member counts for a quorum. */
-  public boolean votes(VoterId member) {
+  public boolean isVoter(VoterId member) {
     return voters.contains(member);
   }
 
@@ -45,8 +45,8 @@
   }
 
   /** Returns whether at least a quorum of the voters passes the test. */
-  public boolean quorumOf(Predicate<VoterId> test) {
-    return voters.stream().filter(test).count() >= quorum();
+  public boolean hasQuorum(Predicate<VoterId> test) {
+    return voters.stream().filter(test).count() >= quorumSize();
   }
 
   /** Returns the set without a member. */
@@ -72,9 +72,9 @@
   }
 
   /** Returns whether the other set differs by at most one voter, so that their quorums overlap. */
-  public boolean adjacent(VoterSet other) {
-    long removed = voters.stream().filter(voter -> !other.votes(voter)).count();
-    long added = other.voters().stream().filter(voter -> !votes(voter)).count();
+  public boolean isSingleVoterChange(VoterSet other) {
+    long removed = voters.stream().filter(voter -> !other.isVoter(voter)).count();
+    long added = other.voters().stream().filter(voter -> !isVoter(voter)).count();
     return removed + added <= 1;
   }
 }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/catalog/Catalog.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/catalog/Catalog.java
@@ -17,7 +17,7 @@
 public final class Catalog {
 
   /** What is in force before the first catalog: no queue at all. */
-  public static final Catalog NONE = new Catalog(0, List.of());
+  public static final Catalog EMPTY = new Catalog(0, List.of());
 
   private final long version;
   private final Map<String, VirtualHost> virtualHosts = new HashMap<>();
@@ -26,11 +26,11 @@
     this.version = version;
     for (QueueRule queue : queues) {
       virtualHosts
-          .computeIfAbsent(key(queue.hostName()), host -> new VirtualHost())
-          .byPrefix
+          .computeIfAbsent(normalizeHostName(queue.hostName()), host -> new VirtualHost())
+          .queuesByPrefix
           .put(queue.pathPrefix(), queue);
     }
-    virtualHosts.values().forEach(VirtualHost::sortLengths);
+    virtualHosts.values().forEach(VirtualHost::updatePrefixLengths);
   }
 
   /**
@@ -46,7 +46,7 @@
     }
     Set<String> places = new HashSet<>();
     for (QueueRule queue : queues) {
-      check(queue, services, places);
+      validate(queue, services, places);
     }
     return new Catalog(version, queues);
   }
@@ -58,11 +58,11 @@
 
   /** Returns the queue with the longest prefix of the path, if there is one. */
   public Optional<QueueRule> find(String hostName, String path) {
-    VirtualHost host = virtualHosts.get(key(hostName));
+    VirtualHost host = virtualHosts.get(normalizeHostName(hostName));
     return host == null ? Optional.empty() : host.find(path);
   }
 
-  private static void check(QueueRule queue, Set<String> services, Set<String> places)
+  private static void validate(QueueRule queue, Set<String> services, Set<String> places)
       throws CatalogException {
     if (!services.contains(queue.service())) {
       throw new CatalogException(
@@ -71,7 +71,7 @@
     if (queue.timeoutMillis() < 1) {
       throw new CatalogException("queue " + queue.name() + " has timeout " + queue.timeoutMillis());
     }
-    if (!places.add(key(queue.hostName()) + ' ' + queue.pathPrefix())) {
+    if (!places.add(normalizeHostName(queue.hostName()) + ' ' + queue.pathPrefix())) {
       throw new CatalogException(
           "queue "
               + queue.name()
@@ -81,19 +81,19 @@
     }
   }
 
-  private static String key(String hostName) {
+  private static String normalizeHostName(String hostName) {
     return hostName.toLowerCase(Locale.ROOT);
   }
 
   /** The queues of one host name, by prefix. */
   private static final class VirtualHost {
 
-    private final Map<String, QueueRule> byPrefix = new HashMap<>();
-    private int[] lengths = new int[0];
+    private final Map<String, QueueRule> queuesByPrefix = new HashMap<>();
+    private int[] prefixLengths = new int[0];
 
-    void sortLengths() {
-      lengths =
-          byPrefix.keySet().stream()
+    void updatePrefixLengths() {
+      prefixLengths =
+          queuesByPrefix.keySet().stream()
               .mapToInt(String::length)
               .map(length -> -length)
               .distinct()
@@ -103,8 +103,9 @@
     }
 
     Optional<QueueRule> find(String path) {
-      for (int length : lengths) {
-        QueueRule queue = length <= path.length() ? byPrefix.get(path.substring(0, length)) : null;
+      for (int length : prefixLengths) {
+        QueueRule queue =
+            length <= path.length() ? queuesByPrefix.get(path.substring(0, length)) : null;
         if (queue != null) {
           return Optional.of(queue);
         }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/catalog/CatalogDownload.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/catalog/CatalogDownload.java
@@ -20,7 +20,7 @@
 
   private long version;
   private Bytes received = Bytes.EMPTY;
-  private boolean active;
+  private boolean inProgress;
   private long requestedAt;
   private long progressAt;
 
@@ -29,53 +29,53 @@
    *
    * @return the request to send to that host, or empty if none is due
    */
-  public Optional<CatalogPart.Request> announced(long announcedVersion, long now) {
-    if (!active) {
-      begin(announcedVersion, now);
+  public Optional<CatalogPart.Request> handleAnnouncement(long announcedVersion, long now) {
+    if (!inProgress) {
+      start(announcedVersion, now);
     } else if (now - requestedAt < PART_TIMEOUT_MILLIS) {
       return Optional.empty();
     } else if (announcedVersion > version) {
-      begin(announcedVersion, now);
+      start(announcedVersion, now);
     } else if (announcedVersion < version) {
       if (now - progressAt < STALL_TIMEOUT_MILLIS) {
         return Optional.empty();
       }
-      begin(announcedVersion, now);
+      start(announcedVersion, now);
     }
-    return Optional.of(request(now));
+    return Optional.of(nextRequest(now));
   }
 
   /** Processes a received part. Parts of older versions and duplicates are ignored. */
-  public Result received(CatalogPart part, long now) {
+  public Result handlePart(CatalogPart part, long now) {
     if (part.data().size() == 0) {
       // The source is busy. Allows an immediate request to the next host that has the version.
       requestedAt = now - PART_TIMEOUT_MILLIS;
       return Result.NONE;
     }
-    if (!active || part.version() > version) {
+    if (!inProgress || part.version() > version) {
       // The source no longer has the requested version and sent the start of a newer one.
-      begin(part.version(), now);
+      start(part.version(), now);
     }
     if (part.version() != version || part.offset() != received.size()) {
       return Result.NONE;
     }
-    received = received.plus(part.data());
+    received = received.concat(part.data());
     progressAt = now;
     if (received.size() < part.totalSize()) {
-      return new Result.Continue(request(now));
+      return new Result.Continue(nextRequest(now));
     }
-    active = false;
-    return new Result.Complete(new PackedCatalog(version, received));
+    inProgress = false;
+    return new Result.Complete(new CompressedCatalog(version, received));
   }
 
-  private void begin(long newVersion, long now) {
+  private void start(long newVersion, long now) {
     version = newVersion;
     received = Bytes.EMPTY;
-    active = true;
+    inProgress = true;
     progressAt = now;
   }
 
-  private CatalogPart.Request request(long now) {
+  private CatalogPart.Request nextRequest(long now) {
     requestedAt = now;
     return new CatalogPart.Request(version, received.size());
   }
@@ -93,6 +93,6 @@
     record Continue(CatalogPart.Request request) implements Result {}
 
     /** The download is complete. */
-    record Complete(PackedCatalog catalog) implements Result {}
+    record Complete(CompressedCatalog catalog) implements Result {}
   }
 }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/catalog/CatalogPart.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/catalog/CatalogPart.java
@@ -3,7 +3,7 @@
 import org.burdockbay.core.agreement.Bytes;
 
 /**
- * A part of a {@link PackedCatalog}.
+ * A part of a {@link CompressedCatalog}.
  *
  * @param version the version of the catalog
  * @param totalSize size of the complete compressed catalog, in bytes
--- a/burdockbay-core/src/main/java/org/burdockbay/core/catalog/CatalogSource.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/catalog/CatalogSource.java
@@ -22,10 +22,10 @@
   static final int PART_BYTES = 4 * 1024;
 
   /** Initial limit on concurrent receivers. */
-  static final int INITIAL_RECEIVERS = 2;
+  static final int INITIAL_RECEIVER_LIMIT = 2;
 
   /** Upper bound of the limit on concurrent receivers. */
-  static final int MOST_RECEIVERS = 16;
+  static final int MAX_RECEIVERS = 16;
 
   /**
    * Interval between two requests of a receiver, in milliseconds, below which the limit on
@@ -42,16 +42,16 @@
   /** Time without a request after which a host no longer counts as a receiver, in milliseconds. */
   static final long RECEIVER_TIMEOUT_MILLIS = CatalogDownload.PART_TIMEOUT_MILLIS;
 
-  private static final int KEPT_VERSIONS = 3;
+  private static final int MAX_RETAINED_VERSIONS = 3;
 
-  private final Deque<PackedCatalog> newestFirst = new ArrayDeque<>();
+  private final Deque<CompressedCatalog> newestFirst = new ArrayDeque<>();
   private final Map<String, Long> requestedAt = new HashMap<>();
-  private int receiverLimit = INITIAL_RECEIVERS;
+  private int receiverLimit = INITIAL_RECEIVER_LIMIT;
 
   /** Adds the version that has come into force and discards the oldest one over the limit. */
-  public void add(PackedCatalog catalog) {
+  public void add(CompressedCatalog catalog) {
     newestFirst.addFirst(catalog);
-    if (newestFirst.size() > KEPT_VERSIONS) {
+    if (newestFirst.size() > MAX_RETAINED_VERSIONS) {
       newestFirst.removeLast();
     }
   }
@@ -63,7 +63,7 @@
    * @return the part, without data if the limit on receivers is reached; empty if there is no
    *     catalog
    */
-  public Optional<CatalogPart> part(String receiver, CatalogPart.Request request, long now) {
+  public Optional<CatalogPart> servePart(String receiver, CatalogPart.Request request, long now) {
     requestedAt.values().removeIf(at -> now - at > RECEIVER_TIMEOUT_MILLIS);
     if (newestFirst.isEmpty()) {
       return Optional.empty();
@@ -85,16 +85,16 @@
 
   private void adjustReceiverLimit(long intervalMillis) {
     if (intervalMillis < FAST_INTERVAL_MILLIS) {
-      receiverLimit = Math.min(receiverLimit + 1, MOST_RECEIVERS);
+      receiverLimit = Math.min(receiverLimit + 1, MAX_RECEIVERS);
     } else if (intervalMillis > SLOW_INTERVAL_MILLIS) {
       receiverLimit = Math.max(receiverLimit - 1, 1);
     }
   }
 
   private CatalogPart slice(CatalogPart.Request request) {
-    Optional<PackedCatalog> requested =
+    Optional<CompressedCatalog> requested =
         newestFirst.stream().filter(kept -> kept.version() == request.version()).findFirst();
-    PackedCatalog catalog = requested.orElseGet(newestFirst::getFirst);
+    CompressedCatalog catalog = requested.orElseGet(newestFirst::getFirst);
     int size = catalog.data().size();
     int from = requested.isPresent() ? Math.clamp(request.offset(), 0, size) : 0;
     int to = Math.min(size, from + PART_BYTES);
--- a/burdockbay-core/src/main/java/org/burdockbay/core/catalog/PackedCatalog.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/catalog/CompressedCatalog.java
@@ -16,18 +16,18 @@
  * @param version the version; 0 before the first catalog
  * @param data the UTF-8 text in zlib format, whose checksum detects corruption
  */
-public record PackedCatalog(long version, Bytes data) {
+public record CompressedCatalog(long version, Bytes data) {
 
   /** The empty catalog that is in force before the first one is published. */
-  public static final PackedCatalog NONE = of(0, "");
+  public static final CompressedCatalog EMPTY = of(0, "");
 
   /** Largest decompressed text, in bytes. */
-  static final int LARGEST_TEXT = 16 * 1024 * 1024;
+  static final int MAX_TEXT_BYTES = 16 * 1024 * 1024;
 
   private static final int BUFFER_BYTES = 16 * 1024;
 
   /** Compresses a text. */
-  public static PackedCatalog of(long version, String text) {
+  public static CompressedCatalog of(long version, String text) {
     Deflater deflater = new Deflater();
     try {
       deflater.setInput(text.getBytes(StandardCharsets.UTF_8));
@@ -37,7 +37,7 @@
       while (!deflater.finished()) {
         compressed.write(buffer, 0, deflater.deflate(buffer));
       }
-      return new PackedCatalog(version, Bytes.copyOf(compressed.toByteArray()));
+      return new CompressedCatalog(version, Bytes.copyOf(compressed.toByteArray()));
     } finally {
       deflater.end();
     }
@@ -60,8 +60,9 @@
         if (count == 0 && !inflater.finished()) {
           throw new CatalogException("catalog " + version + " is truncated");
         }
-        if (text.size() > LARGEST_TEXT) {
-          throw new CatalogException("catalog " + version + " exceeds " + LARGEST_TEXT + " bytes");
+        if (text.size() > MAX_TEXT_BYTES) {
+          throw new CatalogException(
+              "catalog " + version + " exceeds " + MAX_TEXT_BYTES + " bytes");
         }
       }
       return text.toString(StandardCharsets.UTF_8);
--- a/burdockbay-core/src/main/java/org/burdockbay/core/configuration/DispatchConfiguration.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/configuration/DispatchConfiguration.java
@@ -81,7 +81,8 @@
         case "service" ->
             services.put(
                 name,
-                new ServiceRule(name, section.whole("queue-limit"), section.whole("concurrency")));
+                new ServiceRule(
+                    name, section.wholeNumber("queue-limit"), section.wholeNumber("concurrency")));
         case "job" -> jobs.put(name, JobRule.of(section));
         case "caller" ->
             callers.put(
@@ -90,15 +91,15 @@
                     name,
                     section.text("credential-sha256"),
                     section.names("services"),
-                    section.whole("quota"),
-                    section.whole("weight")));
+                    section.wholeNumber("quota"),
+                    section.wholeNumber("weight")));
         default ->
             policy =
                 new PolicyRule(
                     section.ratio("retry-budget"),
                     section.ratio("hedge-budget"),
                     section.ratio("eject-share"),
-                    section.whole("retention-ms"));
+                    section.wholeNumber("retention-ms"));
       }
     }
     checkReferences(sections, services, problems);
@@ -112,7 +113,7 @@
     for (ValidSection section : sections) {
       if (section.kind().equals("job")) {
         if (!services.containsKey(section.text("service"))) {
-          problems.add(section.problem("service", unknownService(section.text("service"))));
+          problems.add(section.problem("service", unknownServiceMessage(section.text("service"))));
         }
         if (section.flag("hedge") && !section.flag("idempotent")) {
           problems.add(section.problem("hedge", "only idempotent jobs may hedge"));
@@ -121,7 +122,7 @@
       if (section.kind().equals("caller")) {
         for (String service : section.names("services")) {
           if (!services.containsKey(service)) {
-            problems.add(section.problem("services", unknownService(service)));
+            problems.add(section.problem("services", unknownServiceMessage(service)));
           }
         }
         String other = credentials.put(section.text("credential-sha256"), section.name());
@@ -133,7 +134,7 @@
     }
   }
 
-  private static String unknownService(String name) {
+  private static String unknownServiceMessage(String name) {
     return "there is no service '" + name + "'";
   }
 }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/configuration/DispatchSchema.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/configuration/DispatchSchema.java
@@ -23,13 +23,13 @@
         "A service that runners announce and that jobs belong to.",
         List.of(
             key("queue-limit")
-                .whole(1, 1_000_000)
-                .fallback("10000")
-                .help("Tasks that may wait for a slot in a failure domain."),
+                .wholeNumber(1, 1_000_000)
+                .defaultValue("10000")
+                .build("Tasks that may wait for a slot in a failure domain."),
             key("concurrency")
-                .whole(1, 100_000)
-                .fallback("100000")
-                .help("Tasks of the service that may run at once in a failure domain.")));
+                .wholeNumber(1, 100_000)
+                .defaultValue("100000")
+                .build("Tasks of the service that may run at once in a failure domain.")));
   }
 
   private static SectionDefinition job() {
@@ -38,33 +38,39 @@
         true,
         "A kind of job that a service accepts.",
         List.of(
-            key("service").text(NAME_PATTERN, "the name of a service").help("The service."),
+            key("service").text(NAME_PATTERN, "the name of a service").build("The service."),
             key("idempotent")
                 .flag()
-                .fallback("false")
-                .help("Whether a task may run more than once; if not, the ledger guards it."),
+                .defaultValue("false")
+                .build("Whether a task may run more than once; if not, the ledger guards it."),
             key("run-time-ms")
-                .whole(1, 600_000)
-                .fallback("300")
-                .help("Declared run time of a task; used until enough tasks were measured."),
+                .wholeNumber(1, 600_000)
+                .defaultValue("300")
+                .build("Declared run time of a task; used until enough tasks were measured."),
             key("deadline-ms")
-                .whole(1, 3_600_000)
-                .fallback("30000")
-                .help("Time for the answer, where the caller sets no shorter one."),
-            key("max-tasks").whole(1, 10_000).fallback("120").help("Tasks that one job may have."),
+                .wholeNumber(1, 3_600_000)
+                .defaultValue("30000")
+                .build("Time for the answer, where the caller sets no shorter one."),
+            key("max-tasks")
+                .wholeNumber(1, 10_000)
+                .defaultValue("120")
+                .build("Tasks that one job may have."),
             key("retries")
-                .whole(0, 10)
-                .fallback("2")
-                .help("Further attempts of a failed task; only for idempotent jobs."),
+                .wholeNumber(0, 10)
+                .defaultValue("2")
+                .build("Further attempts of a failed task; only for idempotent jobs."),
             key("hedge")
                 .flag()
-                .fallback("false")
-                .help("Whether a straggling task gets a second attempt; idempotent jobs only."),
-            key("priority").whole(0, 9).fallback("5").help("Priority class; 0 goes first."),
+                .defaultValue("false")
+                .build("Whether a straggling task gets a second attempt; idempotent jobs only."),
+            key("priority")
+                .wholeNumber(0, 9)
+                .defaultValue("5")
+                .build("Priority class; 0 goes first."),
             key("labels")
                 .names()
-                .fallback("")
-                .help("Labels that a runner must have, for example an accelerator.")));
+                .defaultValue("")
+                .build("Labels that a runner must have, for example an accelerator.")));
   }
 
   private static SectionDefinition caller() {
@@ -75,16 +81,16 @@
         List.of(
             key("credential-sha256")
                 .text("[0-9a-f]{64}", "64 lower-case hexadecimal digits")
-                .help("SHA-256 of the caller's bearer credential."),
-            key("services").names().help("The services that the caller may use."),
+                .build("SHA-256 of the caller's bearer credential."),
+            key("services").names().build("The services that the caller may use."),
             key("quota")
-                .whole(1, 1_000_000)
-                .fallback("1000")
-                .help("Tasks, waiting and running, that the caller may have in a failure domain."),
+                .wholeNumber(1, 1_000_000)
+                .defaultValue("1000")
+                .build("Tasks, waiting and running, that the caller may have in a failure domain."),
             key("weight")
-                .whole(1, 1000)
-                .fallback("1")
-                .help("Share of the slots relative to other callers that wait.")));
+                .wholeNumber(1, 1000)
+                .defaultValue("1")
+                .build("Share of the slots relative to other callers that wait.")));
   }
 
   private static SectionDefinition policy() {
@@ -95,19 +101,19 @@
         List.of(
             key("retry-budget")
                 .ratio(0, 1)
-                .fallback("0.1")
-                .help("Retries of a caller for each of its first attempts, at most."),
+                .defaultValue("0.1")
+                .build("Retries of a caller for each of its first attempts, at most."),
             key("hedge-budget")
                 .ratio(0, 1)
-                .fallback("0.02")
-                .help("Second attempts of stragglers for each first attempt, at most."),
+                .defaultValue("0.02")
+                .build("Second attempts of stragglers for each first attempt, at most."),
             key("eject-share")
                 .ratio(0, 1)
-                .fallback("0.5")
-                .help("Share of a domain's runners that may be ejected at once."),
+                .defaultValue("0.5")
+                .build("Share of a domain's runners that may be ejected at once."),
             key("retention-ms")
-                .whole(1000, 86_400_000)
-                .fallback("120000")
-                .help("Time for which the answer of a finished submission is kept.")));
+                .wholeNumber(1000, 86_400_000)
+                .defaultValue("120000")
+                .build("Time for which the answer of a finished submission is kept.")));
   }
 }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/configuration/DocumentSchema.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/configuration/DocumentSchema.java
@@ -29,7 +29,7 @@
     List<ValidSection> valid = new ArrayList<>();
     Set<String> seen = new HashSet<>();
     for (IniDocument.Section section : document.sections()) {
-      Optional<SectionDefinition> definition = definition(section.kind());
+      Optional<SectionDefinition> definition = findDefinition(section.kind());
       if (definition.isEmpty()) {
         problems.add(problem(document, section, "unknown section; " + allowedKinds()));
       } else if (definition.get().named() == section.name().isEmpty()) {
@@ -53,7 +53,7 @@
     Map<String, Integer> lines = new LinkedHashMap<>();
     for (IniDocument.Entry entry : section.entries()) {
       String field = "[" + section.header() + "] " + entry.key();
-      Optional<String> complaint = complaint(definition, entry, values);
+      Optional<String> complaint = findViolation(definition, entry, values);
       complaint.ifPresent(
           text -> problems.add(new Problem(document.file(), entry.line(), field, text)));
       values.put(entry.key(), entry.value());
@@ -61,21 +61,21 @@
     }
     for (SettingDefinition setting : definition.settings()) {
       if (!values.containsKey(setting.key())) {
-        if (setting.fallback().isEmpty()) {
+        if (setting.defaultValue().isEmpty()) {
           problems.add(
               problem(
                   document,
                   section,
                   "the key " + setting.key() + " is missing; give " + setting.type().allowed()));
         }
-        values.put(setting.key(), setting.fallback().orElse(""));
+        values.put(setting.key(), setting.defaultValue().orElse(""));
       }
     }
     return new ValidSection(
         document.file(), section.kind(), section.name(), section.line(), values, lines);
   }
 
-  private static Optional<String> complaint(
+  private static Optional<String> findViolation(
       SectionDefinition definition, IniDocument.Entry entry, Map<String, String> seen) {
     if (seen.containsKey(entry.key())) {
       return Optional.of("the key is given twice");
@@ -85,10 +85,10 @@
       List<String> keys = definition.settings().stream().map(SettingDefinition::key).toList();
       return Optional.of("unknown key; allowed are " + String.join(", ", keys));
     }
-    return setting.get().type().complaint(entry.value());
+    return setting.get().type().findViolation(entry.value());
   }
 
-  private Optional<SectionDefinition> definition(String kind) {
+  private Optional<SectionDefinition> findDefinition(String kind) {
     return sections.stream().filter(section -> section.kind().equals(kind)).findFirst();
   }
 
--- a/burdockbay-core/src/main/java/org/burdockbay/core/configuration/JobRule.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/configuration/JobRule.java
@@ -12,7 +12,7 @@
  * @param deadlineMillis time for the answer, in milliseconds
  * @param maxTasks tasks that one job may have
  * @param retries further attempts of a failed task
- * @param hedge whether a straggling task gets a second attempt
+ * @param hedgingEnabled whether a straggling task gets a second attempt
  * @param priority priority class; 0 goes first
  * @param labels labels that a runner must have
  */
@@ -24,7 +24,7 @@
     int deadlineMillis,
     int maxTasks,
     int retries,
-    boolean hedge,
+    boolean hedgingEnabled,
     int priority,
     List<String> labels) {
 
@@ -33,12 +33,12 @@
         section.name(),
         section.text("service"),
         section.flag("idempotent"),
-        section.whole("run-time-ms"),
-        section.whole("deadline-ms"),
-        section.whole("max-tasks"),
-        section.whole("retries"),
+        section.wholeNumber("run-time-ms"),
+        section.wholeNumber("deadline-ms"),
+        section.wholeNumber("max-tasks"),
+        section.wholeNumber("retries"),
         section.flag("hedge"),
-        section.whole("priority"),
+        section.wholeNumber("priority"),
         section.names("labels"));
   }
 }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/configuration/SettingDefinition.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/configuration/SettingDefinition.java
@@ -9,11 +9,11 @@
  *
  * @param key the name of the key
  * @param type the values that it takes
- * @param fallback the value where the key is missing; empty where the key is required
+ * @param defaultValue the value where the key is missing; empty where the key is required
  * @param help one sentence for the reference page
  */
 public record SettingDefinition(
-    String key, SettingType type, Optional<String> fallback, String help) {
+    String key, SettingType type, Optional<String> defaultValue, String help) {
 
   /** Starts the definition of a key. */
   public static Builder key(String key) {
@@ -25,14 +25,14 @@
 
     private final String key;
     private SettingType type = new SettingType.Names();
-    private Optional<String> fallback = Optional.empty();
+    private Optional<String> defaultValue = Optional.empty();
 
     private Builder(String key) {
       this.key = key;
     }
 
     /** Takes whole numbers between two bounds. */
-    public Builder whole(long min, long max) {
+    public Builder wholeNumber(long min, long max) {
       type = new SettingType.WholeNumber(min, max);
       return this;
     }
@@ -68,14 +68,14 @@
     }
 
     /** Makes the key optional. */
-    public Builder fallback(String value) {
-      fallback = Optional.of(value);
+    public Builder defaultValue(String value) {
+      defaultValue = Optional.of(value);
       return this;
     }
 
     /** Ends the definition with its sentence for the reference page. */
-    public SettingDefinition help(String help) {
-      return new SettingDefinition(key, type, fallback, help);
+    public SettingDefinition build(String help) {
+      return new SettingDefinition(key, type, defaultValue, help);
     }
   }
 }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/configuration/SettingType.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/configuration/SettingType.java
@@ -23,7 +23,7 @@
   record Names() implements SettingType {}
 
   /** One of a few words. */
-  record OneOf(List<String> words) implements SettingType {}
+  record OneOf(List<String> values) implements SettingType {}
 
   /** Returns a sentence that tells what is allowed. */
   default String allowed() {
@@ -33,27 +33,27 @@
       case Flag flag -> "true or false";
       case Text text -> text.allowed();
       case Names names -> "names separated by commas";
-      case OneOf oneOf -> "one of " + String.join(", ", oneOf.words());
+      case OneOf oneOf -> "one of " + String.join(", ", oneOf.values());
     };
   }
 
   /** Returns what is wrong with the value, or empty if it is allowed. */
-  default Optional<String> complaint(String value) {
+  default Optional<String> findViolation(String value) {
     boolean fine =
         switch (this) {
-          case WholeNumber number -> within(value, number);
-          case Ratio ratio -> within(value, ratio);
+          case WholeNumber number -> isWithin(value, number);
+          case Ratio ratio -> isWithin(value, ratio);
           case Flag flag -> value.equals("true") || value.equals("false");
           case Text text -> text.pattern().matcher(value).matches();
           case Names names -> value.isEmpty() || value.matches("[\\w.-]+(\\s*,\\s*[\\w.-]+)*");
-          case OneOf oneOf -> oneOf.words().contains(value);
+          case OneOf oneOf -> oneOf.values().contains(value);
         };
     return fine
         ? Optional.empty()
         : Optional.of("'" + value + "' is not allowed; give " + allowed());
   }
 
-  private static boolean within(String value, WholeNumber number) {
+  private static boolean isWithin(String value, WholeNumber number) {
     try {
       long parsed = Long.parseLong(value);
       return parsed >= number.min() && parsed <= number.max();
@@ -62,7 +62,7 @@
     }
   }
 
-  private static boolean within(String value, Ratio ratio) {
+  private static boolean isWithin(String value, Ratio ratio) {
     try {
       double parsed = Double.parseDouble(value);
       return parsed >= ratio.min() && parsed <= ratio.max();
--- a/burdockbay-core/src/main/java/org/burdockbay/core/configuration/ValidSection.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/configuration/ValidSection.java
@@ -28,7 +28,7 @@
   }
 
   /** Returns the value as a whole number. */
-  public int whole(String key) {
+  public int wholeNumber(String key) {
     return Integer.parseInt(text(key));
   }
 
--- a/burdockbay-core/src/main/java/org/burdockbay/core/configuration/support/IniReader.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/configuration/support/IniReader.java
@@ -40,10 +40,11 @@
     } catch (org.apache.commons.configuration2.ex.ConfigurationException | IOException e) {
       throw failure(0, "", "not INI: " + e.getMessage());
     }
-    return locate(text, library);
+    return addLineNumbers(text, library);
   }
 
-  private IniDocument locate(String text, INIConfiguration library) throws ConfigurationException {
+  private IniDocument addLineNumbers(String text, INIConfiguration library)
+      throws ConfigurationException {
     List<IniDocument.Section> sections = new ArrayList<>();
     Map<String, Integer> occurrences = new LinkedHashMap<>();
     int number = 0;
@@ -68,13 +69,13 @@
       }
       IniDocument.Section section = sections.getLast();
       String key = line.substring(0, equals).strip();
-      String value = value(library, section.header(), key, occurrences);
+      String value = readValue(library, section.header(), key, occurrences);
       section.entries().add(new IniDocument.Entry(key, value, number));
     }
     return new IniDocument(file, sections);
   }
 
-  private static String value(
+  private static String readValue(
       INIConfiguration library, String header, String key, Map<String, Integer> occurrences) {
     SubnodeConfiguration section = library.getSection(header);
     List<Object> values = section.getList(key.replace(".", ".."));
--- a/burdockbay-core/src/main/java/org/burdockbay/core/control/ControlCommand.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/control/ControlCommand.java
@@ -1,13 +1,13 @@
 package org.burdockbay.core.control;
 
-import org.burdockbay.core.catalog.PackedCatalog;
+import org.burdockbay.core.catalog.CompressedCatalog;
 import org.burdockbay.core.ledger.LedgerCommand;
 
 /** A command in the agreement log. */
 public sealed interface ControlCommand {
 
   /** A command to the ledger. */
-  record ToLedger(LedgerCommand command) implements ControlCommand {}
+  record LedgerOperation(LedgerCommand command) implements ControlCommand {}
 
   /**
    * Replaces the configuration if its version is still the expected one.
@@ -22,7 +22,7 @@
       implements ControlCommand {}
 
   /** Puts a catalog in force, unless the one in force has the same or a higher version. */
-  record PublishCatalog(PackedCatalog catalog) implements ControlCommand {}
+  record PublishCatalog(CompressedCatalog catalog) implements ControlCommand {}
 
   /**
    * Reads the catalog in the order of the log, and so the newest one that was acknowledged before.
--- a/burdockbay-core/src/main/java/org/burdockbay/core/control/ControlImage.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/control/ControlImage.java
@@ -1,7 +1,7 @@
 package org.burdockbay.core.control;
 
 import java.util.List;
-import org.burdockbay.core.catalog.PackedCatalog;
+import org.burdockbay.core.catalog.CompressedCatalog;
 import org.burdockbay.core.ledger.LedgerImage;
 
 /**
@@ -16,7 +16,7 @@
     List<ConfigurationVersion> configuration,
     List<AcceptedChange> changes,
     LedgerImage ledger,
-    PackedCatalog catalog) {
+    CompressedCatalog catalog) {
 
   /** Copies the lists. */
   public ControlImage {
--- a/burdockbay-core/src/main/java/org/burdockbay/core/control/ControlReply.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/control/ControlReply.java
@@ -1,13 +1,13 @@
 package org.burdockbay.core.control;
 
-import org.burdockbay.core.catalog.PackedCatalog;
+import org.burdockbay.core.catalog.CompressedCatalog;
 import org.burdockbay.core.ledger.LedgerReply;
 
 /** How a {@link ControlCommand} was answered. */
 public sealed interface ControlReply {
 
   /** The ledger's answer. */
-  record FromLedger(LedgerReply reply) implements ControlReply {}
+  record LedgerResult(LedgerReply reply) implements ControlReply {}
 
   /** The configuration was accepted under the given version, or a catalog of it is in force. */
   record Accepted(long version) implements ControlReply {}
@@ -19,5 +19,5 @@
   record Unavailable() implements ControlReply {}
 
   /** The catalog in force; version 0 while there is none. */
-  record Catalog(PackedCatalog catalog) implements ControlReply {}
+  record CatalogContent(CompressedCatalog catalog) implements ControlReply {}
 }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/control/ControlState.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/control/ControlState.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import org.burdockbay.core.catalog.PackedCatalog;
+import org.burdockbay.core.catalog.CompressedCatalog;
 import org.burdockbay.core.ledger.Ledger;
 
 /**
@@ -17,19 +17,19 @@
 public final class ControlState {
 
   /** Versions of the document that are kept for the history. */
-  public static final int KEPT_VERSIONS = 20;
+  public static final int MAX_RETAINED_VERSIONS = 20;
 
   /** Characters of kept documents; past it the oldest versions go first. */
-  public static final int KEPT_CHARACTERS = 4_000_000;
+  public static final int MAX_RETAINED_CHARACTERS = 4_000_000;
 
   /** Change ids that are remembered; a resend after that many other changes is a new change. */
-  public static final int KEPT_CHANGES = 10_000;
+  public static final int MAX_RETAINED_CHANGES = 10_000;
 
   private final Ledger ledger = new Ledger();
   private final Deque<ControlImage.ConfigurationVersion> versions = new ArrayDeque<>();
-  private final Map<String, Long> changes = new LinkedHashMap<>();
-  private int keptCharacters;
-  private PackedCatalog catalog = PackedCatalog.NONE;
+  private final Map<String, Long> acceptedChanges = new LinkedHashMap<>();
+  private int retainedCharacters;
+  private CompressedCatalog catalog = CompressedCatalog.EMPTY;
 
   /**
    * Applies a command.
@@ -38,16 +38,16 @@
    */
   public ControlReply apply(ControlCommand command, long now) {
     return switch (command) {
-      case ControlCommand.ToLedger toLedger ->
-          new ControlReply.FromLedger(ledger.apply(toLedger.command(), now));
+      case ControlCommand.LedgerOperation toLedger ->
+          new ControlReply.LedgerResult(ledger.apply(toLedger.command(), now));
       case ControlCommand.ApplyConfiguration apply -> applyConfiguration(apply, now);
-      case ControlCommand.PublishCatalog publish -> publish(publish);
-      case ControlCommand.ReadCatalog read -> new ControlReply.Catalog(catalog);
+      case ControlCommand.PublishCatalog publish -> publishCatalog(publish);
+      case ControlCommand.ReadCatalog read -> new ControlReply.CatalogContent(catalog);
     };
   }
 
   /** Returns the catalog in force. */
-  public PackedCatalog catalog() {
+  public CompressedCatalog catalog() {
     return catalog;
   }
 
@@ -69,7 +69,8 @@
   /** Returns the whole state. */
   public ControlImage image() {
     List<ControlImage.AcceptedChange> accepted = new ArrayList<>();
-    changes.forEach((id, version) -> accepted.add(new ControlImage.AcceptedChange(id, version)));
+    acceptedChanges.forEach(
+        (id, version) -> accepted.add(new ControlImage.AcceptedChange(id, version)));
     return new ControlImage(history(), accepted, ledger.image(), catalog);
   }
 
@@ -77,9 +78,9 @@
   public void restore(ControlImage image) {
     versions.clear();
     versions.addAll(image.configuration());
-    keptCharacters = versions.stream().mapToInt(version -> version.text().length()).sum();
-    changes.clear();
-    image.changes().forEach(change -> changes.put(change.changeId(), change.version()));
+    retainedCharacters = versions.stream().mapToInt(version -> version.text().length()).sum();
+    acceptedChanges.clear();
+    image.changes().forEach(change -> acceptedChanges.put(change.changeId(), change.version()));
     ledger.restore(image.ledger());
     catalog = image.catalog();
   }
@@ -90,7 +91,7 @@
    * <p>A publisher that lost the answer sends the same again, and two publishers may race. So an
    * older or equal version changes nothing and is answered like a success.
    */
-  private ControlReply publish(ControlCommand.PublishCatalog publish) {
+  private ControlReply publishCatalog(ControlCommand.PublishCatalog publish) {
     if (publish.catalog().version() > catalog.version()) {
       catalog = publish.catalog();
     }
@@ -98,7 +99,7 @@
   }
 
   private ControlReply applyConfiguration(ControlCommand.ApplyConfiguration apply, long now) {
-    Long accepted = changes.get(apply.changeId());
+    Long accepted = acceptedChanges.get(apply.changeId());
     if (accepted != null) {
       // The operator resends because the answer was lost; it gets the first answer again.
       return new ControlReply.Accepted(accepted);
@@ -111,14 +112,15 @@
     versions.addLast(
         new ControlImage.ConfigurationVersion(
             version, apply.text(), apply.changeId(), apply.operator(), now));
-    keptCharacters += apply.text().length();
+    retainedCharacters += apply.text().length();
     while (versions.size() > 1
-        && (versions.size() > KEPT_VERSIONS || keptCharacters > KEPT_CHARACTERS)) {
-      keptCharacters -= versions.removeFirst().text().length();
+        && (versions.size() > MAX_RETAINED_VERSIONS
+            || retainedCharacters > MAX_RETAINED_CHARACTERS)) {
+      retainedCharacters -= versions.removeFirst().text().length();
     }
-    changes.put(apply.changeId(), version);
-    if (changes.size() > KEPT_CHANGES) {
-      changes.remove(changes.keySet().iterator().next());
+    acceptedChanges.put(apply.changeId(), version);
+    if (acceptedChanges.size() > MAX_RETAINED_CHANGES) {
+      acceptedChanges.remove(acceptedChanges.keySet().iterator().next());
     }
     return new ControlReply.Accepted(version);
   }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/AbandonedSubmissions.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/AbandonedSubmissions.java
@@ -16,43 +16,44 @@
  */
 final class AbandonedSubmissions {
 
-  private static final long GRACE_MILLIS = 10_000;
-  private static final long AGAIN_MILLIS = 1_000;
+  private static final long RESUBMISSION_GRACE_MILLIS = 10_000;
+  private static final long CLOSE_RETRY_INTERVAL_MILLIS = 1_000;
 
   private final DispatchState state;
   private final DispatchRecovery recovery;
-  private final JobTable table;
-  private long dueAt;
+  private final JobTable jobs;
+  private long nextCheckAt;
 
   AbandonedSubmissions(DispatchState state, DispatchRecovery recovery, JobTable table) {
     this.state = state;
     this.recovery = recovery;
-    this.table = table;
+    this.jobs = table;
   }
 
   void epochGranted() {
-    dueAt = state.now + GRACE_MILLIS;
+    nextCheckAt = state.now + RESUBMISSION_GRACE_MILLIS;
   }
 
   void tick() {
-    if (!recovery.complete() || state.now < dueAt) {
+    if (!recovery.isComplete() || state.now < nextCheckAt) {
       return;
     }
-    dueAt = state.now + AGAIN_MILLIS;
-    for (LedgerReply.OpenSubmission left : List.copyOf(recovery.open().values())) {
-      if (table.find(left.key()) == null) {
-        JobOutcome outcome = outcomeOf(left);
-        state.note("job-abandoned", "job=" + left.key() + " outcome=" + outcome.word());
+    nextCheckAt = state.now + CLOSE_RETRY_INTERVAL_MILLIS;
+    for (LedgerReply.OpenSubmission left : List.copyOf(recovery.openSubmissions().values())) {
+      if (jobs.find(left.key()) == null) {
+        JobOutcome outcome = deriveOutcome(left);
+        state.logEvent("job-abandoned", "job=" + left.key() + " outcome=" + outcome.code());
         state.propose(new LedgerRequest.Close(state.epoch, left.key(), outcome));
       }
     }
   }
 
-  private JobOutcome outcomeOf(LedgerReply.OpenSubmission left) {
+  private JobOutcome deriveOutcome(LedgerReply.OpenSubmission left) {
     List<String> answers = new ArrayList<>();
     boolean anyFound = false;
     for (int task = 0; task < left.tasks(); task++) {
-      Optional<DispatchRecovery.Found> found = recovery.find(left.key(), left.digest(), task);
+      Optional<DispatchRecovery.RecoveredAttempt> found =
+          recovery.find(left.key(), left.digest(), task);
       anyFound |= found.isPresent();
       if (found.isPresent()
           && found.get().status() instanceof AttemptStatus.Finished finished
@@ -63,7 +64,7 @@
     if (answers.size() == left.tasks()) {
       return new JobOutcome.Completed(answers);
     }
-    if (!anyFound && recovery.lossless()) {
+    if (!anyFound && recovery.isLossless()) {
       return failed(ErrorKind.NOT_RUN, "its dispatcher was lost before it began");
     }
     return failed(ErrorKind.OUTCOME_UNKNOWN, "its dispatcher was lost while it ran");
--- a/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/AdmissionPolicy.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/AdmissionPolicy.java
@@ -16,9 +16,9 @@
  */
 final class AdmissionPolicy {
 
-  private static final long SHORTEST_RETRY_MILLIS = 200;
-  private static final long LONGEST_RETRY_MILLIS = 60_000;
-  private static final int SPREAD = 1000;
+  private static final long MIN_RETRY_AFTER_MILLIS = 200;
+  private static final long MAX_RETRY_AFTER_MILLIS = 60_000;
+  private static final int JITTER_STEPS = 1000;
 
   private final DispatchState state;
   private final TaskScheduler scheduler;
@@ -33,77 +33,77 @@
     int tasks = request.tasks().size();
     CallerRule caller = state.configuration.caller(request.key().caller()).orElse(null);
     if (caller == null || !caller.services().contains(rule.service())) {
-      return failed(ErrorKind.FORBIDDEN, "the caller may not use service " + rule.service(), 0);
+      return refuse(ErrorKind.FORBIDDEN, "the caller may not use service " + rule.service(), 0);
     }
     if (tasks == 0 || tasks > rule.maxTasks()) {
       String detail = tasks + " tasks; job " + rule.name() + " takes 1 to " + rule.maxTasks();
-      return failed(ErrorKind.TOO_LARGE, detail, 0);
+      return refuse(ErrorKind.TOO_LARGE, detail, 0);
     }
     if (tasks > caller.quota()) {
-      return failed(ErrorKind.IMPOSSIBLE, tasks + " tasks are over the caller's whole quota", 0);
+      return refuse(ErrorKind.IMPOSSIBLE, tasks + " tasks are over the caller's whole quota", 0);
     }
-    if (!state.pool.servable(rule)) {
-      return unservable(rule);
+    if (!state.pool.isServable(rule)) {
+      return refuseUnservable(rule);
     }
-    int held = scheduler.heldBy(caller.name());
+    int held = scheduler.tasksOf(caller.name());
     if (held + tasks > caller.quota()) {
-      long wait = waitMillis(request, rule, caller.weight());
+      long wait = predictedWaitMillis(request, rule, caller.weight());
       String detail = held + " of " + caller.quota() + " tasks of the quota are in use";
-      return failed(ErrorKind.QUOTA_EXCEEDED, detail, retryAfter(request, wait));
+      return refuse(ErrorKind.QUOTA_EXCEEDED, detail, retryAfterMillis(request, wait));
     }
-    return overload(request, rule, caller);
+    return checkOverload(request, rule, caller);
   }
 
   /** Returns the predicted wait before the last task of the job starts, in milliseconds. */
-  long waitMillis(JobRequest request, JobRule rule, int weight) {
-    int slots = Math.max(1, state.pool.slots(rule, state.now));
+  long predictedWaitMillis(JobRequest request, JobRule rule, int weight) {
+    int slots = Math.max(1, state.pool.availableSlots(rule, state.now));
     double ahead =
         scheduler.queue(rule).workAheadMillis(request.key().caller(), weight, rule.priority());
-    int beyondFree = request.tasks().size() - scheduler.idleSlots(rule);
+    int beyondFree = request.tasks().size() - scheduler.spareSlots(rule);
     double own = Math.max(0, beyondFree) * state.runTime(rule).expectedMillis();
     return Math.round((ahead + own) / slots);
   }
 
-  private Optional<JobOutcome.Failed> overload(
+  private Optional<JobOutcome.Failed> checkOverload(
       JobRequest request, JobRule rule, CallerRule caller) {
     ServiceRule service = state.configuration.services().get(rule.service());
-    long wait = waitMillis(request, rule, caller.weight());
+    long wait = predictedWaitMillis(request, rule, caller.weight());
     if (service != null
         && scheduler.queue(rule).size() + request.tasks().size() > service.queueLimit()) {
       String detail = "the queue of service " + rule.service() + " is full";
-      return failed(ErrorKind.OVERLOADED, detail, retryAfter(request, wait));
+      return refuse(ErrorKind.OVERLOADED, detail, retryAfterMillis(request, wait));
     }
     double run = state.runTime(rule).expectedMillis();
     if (wait + run > request.remainingMillis()) {
       long predicted = Math.round(wait + run);
       String detail = "the answer is predicted in " + predicted + " ms, after the deadline";
       long excess = Math.round(wait + run - request.remainingMillis());
-      return failed(ErrorKind.OVERLOADED, detail, retryAfter(request, excess));
+      return refuse(ErrorKind.OVERLOADED, detail, retryAfterMillis(request, excess));
     }
     return Optional.empty();
   }
 
-  private Optional<JobOutcome.Failed> unservable(JobRule rule) {
+  private Optional<JobOutcome.Failed> refuseUnservable(JobRule rule) {
     // A domain that has other runners but none for this job will not get one within a deadline;
     // a domain without any runner may just be starting or be cut off from them.
-    if (state.pool.all().isEmpty()) {
-      return failed(ErrorKind.OVERLOADED, "no runner is announced", SHORTEST_RETRY_MILLIS * 5);
+    if (state.pool.runners().isEmpty()) {
+      return refuse(ErrorKind.OVERLOADED, "no runner is announced", MIN_RETRY_AFTER_MILLIS * 5);
     }
     String detail = "no runner offers service " + rule.service() + " with labels " + rule.labels();
-    return failed(ErrorKind.IMPOSSIBLE, detail, 0);
+    return refuse(ErrorKind.IMPOSSIBLE, detail, 0);
   }
 
   /**
    * Returns when to come back: after the excess has drained, spread over half of that time again so
    * that refused callers don't return all at once.
    */
-  private static long retryAfter(JobRequest request, long excessMillis) {
-    long base = Math.max(SHORTEST_RETRY_MILLIS, excessMillis);
-    long spread = base * Math.floorMod(request.key().hashCode(), SPREAD) / (2 * SPREAD);
-    return Math.min(LONGEST_RETRY_MILLIS, base + spread);
+  private static long retryAfterMillis(JobRequest request, long excessMillis) {
+    long base = Math.max(MIN_RETRY_AFTER_MILLIS, excessMillis);
+    long spread = base * Math.floorMod(request.key().hashCode(), JITTER_STEPS) / (2 * JITTER_STEPS);
+    return Math.min(MAX_RETRY_AFTER_MILLIS, base + spread);
   }
 
-  private static Optional<JobOutcome.Failed> failed(
+  private static Optional<JobOutcome.Failed> refuse(
       ErrorKind kind, String detail, long retryAfterMillis) {
     return Optional.of(new JobOutcome.Failed(kind, detail, retryAfterMillis));
   }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/AttemptEntry.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/AttemptEntry.java
@@ -16,9 +16,9 @@
   String service = "";
 
   long startedAt;
-  long nextAskAt;
-  long askIntervalMillis;
-  boolean asking;
+  long nextQueryAt;
+  long queryIntervalMillis;
+  boolean queryPending;
   boolean cancelled;
 
   AttemptEntry(AttemptId id, RunnerEntry runner, @Nullable TaskEntry task, long startedAt) {
--- a/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/DispatchEffect.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/DispatchEffect.java
@@ -21,18 +21,19 @@
       implements DispatchEffect {}
 
   /**
-   * Asks about an attempt over a new connection; ends in {@link DispatchEvent.AttemptAsked}.
+   * Asks about an attempt over a new connection; ends in {@link DispatchEvent.AttemptQueried}.
    *
    * @param waitMillis how long the runner may hold the answer while the attempt is running
    */
-  record AskAttempt(RunnerId runner, String address, long epoch, AttemptId attempt, long waitMillis)
+  record QueryAttempt(
+      RunnerId runner, String address, long epoch, AttemptId attempt, long waitMillis)
       implements DispatchEffect {}
 
   /** Stops attempts that no one waits for; needs no answer. */
   record CancelAttempts(RunnerId runner, String address, long epoch, List<AttemptId> attempts)
       implements DispatchEffect {}
 
-  /** Makes a runner obey the epoch; ends in {@link DispatchEvent.RunnerInventoried}. */
+  /** Makes a runner obey the epoch; ends in {@link DispatchEvent.RunnerFenced}. */
   record FenceRunner(RunnerId runner, String address, long epoch) implements DispatchEffect {}
 
   /**
@@ -56,5 +57,5 @@
   record StepDown(long higherEpoch) implements DispatchEffect {}
 
   /** A line for the log. */
-  record Note(String event, String fields) implements DispatchEffect {}
+  record LogEvent(String event, String fields) implements DispatchEffect {}
 }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/DispatchEvent.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/DispatchEvent.java
@@ -44,7 +44,7 @@
   record RunnerAnnounced(RunnerAnnouncement announcement) implements DispatchEvent {}
 
   /** A runner accepted the epoch and listed its attempts. */
-  record RunnerInventoried(RunnerId runner, long epoch, List<AttemptReport> attempts)
+  record RunnerFenced(RunnerId runner, long epoch, List<AttemptReport> attempts)
       implements DispatchEvent {}
 
   /** A start call ended. */
@@ -52,14 +52,14 @@
       implements DispatchEvent {}
 
   /** A runner was asked about an attempt. */
-  record AttemptAsked(AttemptId attempt, RunnerId runner, AttemptStatus status)
+  record AttemptQueried(AttemptId attempt, RunnerId runner, AttemptStatus status)
       implements DispatchEvent {}
 
   /** The ledger answered a proposal of this dispatcher. */
   record LedgerAnswered(LedgerRequest request, LedgerReply reply) implements DispatchEvent {}
 
   /** What the dispatchers of other failure domains last told of their load, by domain. */
-  record DomainLoads(Map<String, DomainLoad> loads) implements DispatchEvent {}
+  record DomainLoadsReported(Map<String, DomainLoad> loads) implements DispatchEvent {}
 
   /** Time passed. */
   record Tick() implements DispatchEvent {}
--- a/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/DispatchRecovery.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/DispatchRecovery.java
@@ -21,18 +21,20 @@
  * <p>Every runner is first fenced: it accepts the new epoch, refuses starts of earlier ones from
  * then on, and lists its attempts. Once all runners that may hold attempts are fenced or written
  * off, an attempt that is on no list either never began and never will, or ran on a runner that was
- * written off; {@link #complete()} and {@link #lossless()} tell the two apart.
+ * written off; {@link #isComplete()} and {@link #isLossless()} tell the two apart.
  */
 final class DispatchRecovery {
 
-  private static final long FENCE_AGAIN_MILLIS = 300;
-  private static final long ROSTER_WRITE_OFF_MILLIS = 4_000;
-  private static final long SETTLE_MILLIS = 1_500;
+  private static final long FENCE_RETRY_INTERVAL_MILLIS = 300;
+  private static final long ROSTER_FENCE_TIMEOUT_MILLIS = 4_000;
+  private static final long RUNNER_DISCOVERY_MILLIS = 1_500;
 
   private final DispatchState state;
-  private final Map<SubmissionKey, Map<AttemptId, Found>> found = new HashMap<>();
-  private final Map<SubmissionKey, LedgerReply.OpenSubmission> open = new LinkedHashMap<>();
-  private final Set<RunnerId> roster = new HashSet<>();
+  private final Map<SubmissionKey, Map<AttemptId, RecoveredAttempt>> attemptsByKey =
+      new HashMap<>();
+  private final Map<SubmissionKey, LedgerReply.OpenSubmission> openSubmissions =
+      new LinkedHashMap<>();
+  private final Set<RunnerId> unfencedRoster = new HashSet<>();
   private long startedAt;
   private boolean rebuilding;
   private boolean registered;
@@ -44,29 +46,29 @@
   }
 
   /** Begins a new epoch. */
-  void begin() {
-    found.clear();
-    open.clear();
-    roster.clear();
+  void startEpoch() {
+    attemptsByKey.clear();
+    openSubmissions.clear();
+    unfencedRoster.clear();
     startedAt = state.now;
     rebuilding = true;
     registered = false;
     rosterComplete = false;
     lossless = true;
-    for (RunnerEntry runner : state.pool.all()) {
-      runner.inventoried = false;
+    for (RunnerEntry runner : state.pool.runners()) {
+      runner.fenced = false;
       runner.inRoster = false;
-      runner.rosterAsked = false;
+      runner.rosterAdditionPending = false;
       fence(runner);
     }
   }
 
   /** Takes what the ledger knows of the earlier epochs. */
-  void registered(LedgerReply.Registered reply) {
+  void ledgerRegistered(LedgerReply.Registered reply) {
     registered = true;
     // Runners may have been fenced while the ledger was still being asked.
-    reply.roster().stream().filter(id -> !isInventoried(id)).forEach(roster::add);
-    reply.open().forEach(submission -> open.put(submission.key(), submission));
+    reply.roster().stream().filter(id -> !isFenced(id)).forEach(unfencedRoster::add);
+    reply.open().forEach(submission -> openSubmissions.put(submission.key(), submission));
   }
 
   boolean isRegistered() {
@@ -74,21 +76,21 @@
   }
 
   void fence(RunnerEntry runner) {
-    runner.fenceAgainAt = state.now + FENCE_AGAIN_MILLIS;
+    runner.nextFenceAt = state.now + FENCE_RETRY_INTERVAL_MILLIS;
     state.emit(new DispatchEffect.FenceRunner(runner.id, runner.address(), state.epoch));
   }
 
   /** Takes the inventory of a runner that accepted the epoch. */
-  void inventoried(RunnerEntry runner, List<AttemptReport> attempts) {
-    runner.inventoried = true;
-    roster.remove(runner.id);
+  void runnerFenced(RunnerEntry runner, List<AttemptReport> attempts) {
+    runner.fenced = true;
+    unfencedRoster.remove(runner.id);
     for (AttemptReport report : attempts) {
-      found
+      attemptsByKey
           .computeIfAbsent(report.id().key(), key -> new HashMap<>())
-          .put(report.id(), new Found(runner, report.status(), report.id()));
+          .put(report.id(), new RecoveredAttempt(runner, report.status(), report.id()));
       if (report.status() instanceof AttemptStatus.Running) {
         AttemptEntry attempt = new AttemptEntry(report.id(), runner, null, state.now);
-        attempt.nextAskAt = state.now;
+        attempt.nextQueryAt = state.now;
         runner.attempts.put(report.id(), attempt);
       }
     }
@@ -97,61 +99,61 @@
   /** Fences again where no answer came, and ends the rebuild when nothing is outstanding. */
   void tick() {
     boolean outstanding = false;
-    for (RunnerEntry runner : state.pool.all()) {
-      if (!runner.inventoried) {
+    for (RunnerEntry runner : state.pool.runners()) {
+      if (!runner.fenced) {
         outstanding = true;
-        if (state.now >= runner.fenceAgainAt) {
+        if (state.now >= runner.nextFenceAt) {
           fence(runner);
         }
       }
     }
     // A process that has just started hasn't heard of every runner yet, and one that it doesn't
     // know may hold attempts; each runner announces itself within a second.
-    boolean settled = state.now - state.startedAt >= SETTLE_MILLIS;
+    boolean settled = state.now - state.startedAt >= RUNNER_DISCOVERY_MILLIS;
     if (rebuilding && !outstanding && settled) {
       rebuilding = false;
-      state.note("rebuild-complete", "epoch=" + state.epoch + " found=" + found.size());
+      state.logEvent("rebuild-complete", "epoch=" + state.epoch + " found=" + attemptsByKey.size());
     }
     if (registered && !rosterComplete) {
-      writeOff();
+      writeOffRunners();
     }
     if (state.now - startedAt >= state.configuration.policy().retentionMillis()) {
-      found.keySet().retainAll(open.keySet());
+      attemptsByKey.keySet().retainAll(openSubmissions.keySet());
     }
   }
 
   /** Returns whether resent work has to wait because running attempts aren't all known yet. */
-  boolean rebuilding() {
+  boolean isRebuilding() {
     return rebuilding;
   }
 
   /** Returns whether every runner that may hold a guarded attempt is fenced or written off. */
-  boolean complete() {
+  boolean isComplete() {
     return registered && rosterComplete && !rebuilding;
   }
 
   /** Returns whether none of them had to be written off. */
-  boolean lossless() {
+  boolean isLossless() {
     return lossless;
   }
 
   /** Returns the submissions of earlier epochs that the ledger holds open. */
-  Map<SubmissionKey, LedgerReply.OpenSubmission> open() {
-    return open;
+  Map<SubmissionKey, LedgerReply.OpenSubmission> openSubmissions() {
+    return openSubmissions;
   }
 
   /** Returns whether earlier epochs opened the submission and didn't close it. */
-  boolean wasOpen(SubmissionKey key) {
-    return open.containsKey(key);
+  boolean wasOpenedEarlier(SubmissionKey key) {
+    return openSubmissions.containsKey(key);
   }
 
   /** Returns what the runners told of a task; a success goes before a running attempt. */
-  Optional<Found> find(SubmissionKey key, String digest, int task) {
-    String content = AttemptId.contentOf(digest);
-    Found best = null;
-    for (Found candidate : found.getOrDefault(key, Map.of()).values()) {
-      boolean match = candidate.id().task() == task && candidate.id().content().equals(content);
-      if (match && (best == null || candidate.beats(best))) {
+  Optional<RecoveredAttempt> find(SubmissionKey key, String digest, int task) {
+    String content = AttemptId.contentTagOf(digest);
+    RecoveredAttempt best = null;
+    for (RecoveredAttempt candidate : attemptsByKey.getOrDefault(key, Map.of()).values()) {
+      boolean match = candidate.id().task() == task && candidate.id().contentTag().equals(content);
+      if (match && (best == null || candidate.takesPrecedenceOver(best))) {
         best = candidate;
       }
     }
@@ -159,10 +161,10 @@
   }
 
   /** Returns whether runners know the key with other content. */
-  boolean knowsOtherContent(SubmissionKey key, String digest) {
-    String content = AttemptId.contentOf(digest);
-    return found.getOrDefault(key, Map.of()).keySet().stream()
-        .anyMatch(id -> !id.content().equals(content));
+  boolean hasOtherContent(SubmissionKey key, String digest) {
+    String content = AttemptId.contentTagOf(digest);
+    return attemptsByKey.getOrDefault(key, Map.of()).keySet().stream()
+        .anyMatch(id -> !id.contentTag().equals(content));
   }
 
   /**
@@ -171,48 +173,50 @@
    * <p>The job may arrive after its attempt ended. Without the result it would look as if the
    * runner had been lost, and the task would start again.
    */
-  void ended(AttemptId attempt, AttemptOutcome outcome) {
+  void attemptEnded(AttemptId attempt, AttemptOutcome outcome) {
     boolean ran =
         outcome instanceof AttemptOutcome.Succeeded || outcome instanceof AttemptOutcome.Failed;
-    Map<AttemptId, Found> attempts = found.get(attempt.key());
+    Map<AttemptId, RecoveredAttempt> attempts = attemptsByKey.get(attempt.key());
     if (ran && attempts != null) {
       attempts.computeIfPresent(
           attempt,
           (id, before) ->
-              new Found(before.runner(), new AttemptStatus.Finished(outcome), before.id()));
+              new RecoveredAttempt(
+                  before.runner(), new AttemptStatus.Finished(outcome), before.id()));
     }
   }
 
   /** Forgets a submission that was settled. */
-  void settled(SubmissionKey key) {
-    found.remove(key);
-    open.remove(key);
+  void removeSettled(SubmissionKey key) {
+    attemptsByKey.remove(key);
+    openSubmissions.remove(key);
   }
 
-  private boolean isInventoried(RunnerId id) {
-    return state.pool.find(id).map(runner -> runner.inventoried).orElse(false);
+  private boolean isFenced(RunnerId id) {
+    return state.pool.find(id).map(runner -> runner.fenced).orElse(false);
   }
 
-  private void writeOff() {
-    boolean late = state.now - startedAt >= ROSTER_WRITE_OFF_MILLIS;
-    if (late && !roster.isEmpty()) {
+  private void writeOffRunners() {
+    boolean late = state.now - startedAt >= ROSTER_FENCE_TIMEOUT_MILLIS;
+    if (late && !unfencedRoster.isEmpty()) {
       lossless = false;
-      state.note("runners-written-off", "count=" + roster.size() + " runners=" + roster);
-      roster.clear();
+      state.logEvent(
+          "runners-written-off", "count=" + unfencedRoster.size() + " runners=" + unfencedRoster);
+      unfencedRoster.clear();
     }
-    if (roster.isEmpty() && !rebuilding) {
+    if (unfencedRoster.isEmpty() && !rebuilding) {
       rosterComplete = true;
     }
   }
 
   /** What a runner told of an attempt. */
-  record Found(RunnerEntry runner, AttemptStatus status, AttemptId id) {
+  record RecoveredAttempt(RunnerEntry runner, AttemptStatus status, AttemptId id) {
 
-    boolean beats(Found other) {
-      return rank() > other.rank();
+    boolean takesPrecedenceOver(RecoveredAttempt other) {
+      return precedence() > other.precedence();
     }
 
-    private int rank() {
+    private int precedence() {
       return switch (status) {
         case AttemptStatus.Finished finished ->
             finished.outcome() instanceof AttemptOutcome.Succeeded ? 2 : 0;
--- a/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/DispatchState.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/DispatchState.java
@@ -15,15 +15,15 @@
   final String domain;
   final RunnerPool pool = new RunnerPool();
   final Map<String, RunTimeEstimator> runTimes = new HashMap<>();
-  private final Map<String, JobHealth> health = new HashMap<>();
+  private final Map<String, RecentSuccesses> recentSuccesses = new HashMap<>();
   DispatchConfiguration configuration = DispatchConfiguration.EMPTY;
-  Map<String, DomainLoad> otherDomains = Map.of();
+  Map<String, DomainLoad> otherDomainLoads = Map.of();
 
   /** The epoch under which this host dispatches; 0 while another host does. */
   long epoch;
 
   /** Since when the set of failure domains, and with it the home of every key, is the same. */
-  long homeStableSince;
+  long homeDomainsStableSince;
 
   /** When the process began to hear announcements. */
   long startedAt;
@@ -35,7 +35,7 @@
     this.domain = domain;
   }
 
-  boolean dispatching() {
+  boolean isDispatching() {
     return epoch != 0;
   }
 
@@ -43,16 +43,16 @@
     effects.add(effect);
   }
 
-  void note(String event, String fields) {
-    emit(new DispatchEffect.Note(event, fields));
+  void logEvent(String event, String fields) {
+    emit(new DispatchEffect.LogEvent(event, fields));
   }
 
   void propose(LedgerRequest request) {
     emit(new DispatchEffect.ProposeLedger(request));
   }
 
-  void report(String host, SubmissionKey key, String digest, JobOutcome outcome) {
-    note("job-reported", "job=" + key + " host=" + host + " outcome=" + outcome.word());
+  void reportOutcome(String host, SubmissionKey key, String digest, JobOutcome outcome) {
+    logEvent("job-reported", "job=" + key + " host=" + host + " outcome=" + outcome.code());
     emit(new DispatchEffect.ReportJob(host, key, digest, outcome));
   }
 
@@ -62,8 +62,8 @@
     return taken;
   }
 
-  JobHealth health(JobRule rule) {
-    return health.computeIfAbsent(rule.name(), name -> new JobHealth());
+  RecentSuccesses recentSuccesses(JobRule rule) {
+    return recentSuccesses.computeIfAbsent(rule.name(), name -> new RecentSuccesses());
   }
 
   RunTimeEstimator runTime(JobRule rule) {
--- a/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/Dispatcher.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/Dispatcher.java
@@ -20,13 +20,13 @@
  */
 public final class Dispatcher {
 
-  private static final long REGISTER_AGAIN_MILLIS = 500;
+  private static final long REGISTRATION_RETRY_INTERVAL_MILLIS = 500;
 
   private final DispatchState state;
   private final DispatchRecovery recovery;
   private final JobLifecycle jobs;
-  private final Map<RunnerId, Long> lost = new LinkedHashMap<>();
-  private long registerAgainAt;
+  private final Map<RunnerId, Long> lostRunners = new LinkedHashMap<>();
+  private long nextRegistrationAt;
 
   /**
    * Creates a passive dispatcher for the failure domain.
@@ -50,13 +50,13 @@
       }
       case DispatchEvent.EpochGranted granted -> epochGranted(granted.epoch());
       case DispatchEvent.EpochLost lost -> epochLost();
-      case DispatchEvent.RunnerAnnounced announced -> announced(announced);
-      case DispatchEvent.DomainLoads loads -> domainLoads(loads);
-      case DispatchEvent.JobSubmitted submitted when !state.dispatching() -> giveBack(submitted);
-      case DispatchEvent.Tick tick when !state.dispatching() -> state.pool.expire(state.now);
+      case DispatchEvent.RunnerAnnounced announced -> runnerAnnounced(announced);
+      case DispatchEvent.DomainLoadsReported loads -> domainLoadsReported(loads);
+      case DispatchEvent.JobSubmitted submitted when !state.isDispatching() -> returnJob(submitted);
+      case DispatchEvent.Tick tick when !state.isDispatching() -> state.pool.expire(state.now);
       default -> {
-        if (state.dispatching()) {
-          dispatch(event);
+        if (state.isDispatching()) {
+          handleWhileDispatching(event);
         }
       }
     }
@@ -70,113 +70,116 @@
 
   /** Returns the load for other failure domains to weigh. */
   public DomainLoad load() {
-    int free = Math.max(0, state.pool.freeSlots(state.now) - jobs.scheduler().waiting());
-    return new DomainLoad(free, jobs.scheduler().typicalWaitMillis());
+    int free = Math.max(0, state.pool.freeSlots(state.now) - jobs.scheduler().waitingTasks());
+    return new DomainLoad(free, jobs.scheduler().predictedWaitMillis());
   }
 
   /** Returns figures for status pages. */
   public DispatchSnapshot snapshot() {
     int running = 0;
     int ejected = 0;
-    for (RunnerEntry runner : state.pool.all()) {
+    for (RunnerEntry runner : state.pool.runners()) {
       running += runner.attempts.size();
-      ejected += runner.ejected(state.now) ? 1 : 0;
+      ejected += runner.isEjected(state.now) ? 1 : 0;
     }
     return DispatchSnapshot.builder()
         .epoch(state.epoch)
-        .runners(state.pool.all().size())
+        .runners(state.pool.runners().size())
         .ejectedRunners(ejected)
         .slots(state.pool.totalSlots(state.now))
         .runningTasks(running)
-        .waitingTasks(jobs.scheduler().waiting())
-        .unfinishedJobs(jobs.unfinished())
+        .waitingTasks(jobs.scheduler().waitingTasks())
+        .unfinishedJobs(jobs.unfinishedJobs())
         .guarding(recovery.isRegistered())
         .build();
   }
 
-  private void dispatch(DispatchEvent event) {
+  private void handleWhileDispatching(DispatchEvent event) {
     switch (event) {
       case DispatchEvent.JobSubmitted submitted -> jobs.submit(submitted);
       case DispatchEvent.JobFollowed followed -> jobs.follow(followed);
       case DispatchEvent.JobCancelled cancelled -> jobs.cancel(cancelled);
-      case DispatchEvent.RunnerInventoried inventoried -> inventoried(inventoried);
+      case DispatchEvent.RunnerFenced inventoried -> runnerFenced(inventoried);
       case DispatchEvent.AttemptEnded ended ->
           jobs.scheduler().attemptEnded(ended.attempt(), ended.runner(), ended.outcome());
-      case DispatchEvent.AttemptAsked asked ->
-          jobs.scheduler().attemptAsked(asked.attempt(), asked.runner(), asked.status());
+      case DispatchEvent.AttemptQueried asked ->
+          jobs.scheduler().attemptQueried(asked.attempt(), asked.runner(), asked.status());
       case DispatchEvent.LedgerAnswered answered -> ledgerAnswered(answered);
       case DispatchEvent.Tick tick -> tick();
       default -> throw new IllegalStateException("not for a dispatcher: " + event);
     }
-    if (state.dispatching()) {
-      jobs.scheduler().pump();
+    if (state.isDispatching()) {
+      jobs.scheduler().startWaitingTasks();
     }
   }
 
   private void epochGranted(long epoch) {
-    if (state.dispatching()) {
+    if (state.isDispatching()) {
       epochLost();
     }
     state.epoch = epoch;
-    state.homeStableSince = state.now;
-    state.note("epoch-granted", "domain=" + state.domain + " epoch=" + epoch);
+    state.homeDomainsStableSince = state.now;
+    state.logEvent("epoch-granted", "domain=" + state.domain + " epoch=" + epoch);
     jobs.epochGranted();
-    recovery.begin();
+    recovery.startEpoch();
     register();
   }
 
   private void epochLost() {
-    if (!state.dispatching()) {
+    if (!state.isDispatching()) {
       return;
     }
-    state.note("epoch-lost", "domain=" + state.domain + " epoch=" + state.epoch);
+    state.logEvent("epoch-lost", "domain=" + state.domain + " epoch=" + state.epoch);
     jobs.epochLost();
-    lost.clear();
+    lostRunners.clear();
     state.epoch = 0;
   }
 
-  private void domainLoads(DispatchEvent.DomainLoads loads) {
-    if (!loads.loads().keySet().equals(state.otherDomains.keySet())) {
-      state.homeStableSince = state.now;
+  private void domainLoadsReported(DispatchEvent.DomainLoadsReported loads) {
+    if (!loads.loads().keySet().equals(state.otherDomainLoads.keySet())) {
+      state.homeDomainsStableSince = state.now;
     }
-    state.otherDomains = loads.loads();
+    state.otherDomainLoads = loads.loads();
   }
 
-  private void giveBack(DispatchEvent.JobSubmitted submitted) {
+  private void returnJob(DispatchEvent.JobSubmitted submitted) {
     state.emit(new DispatchEffect.ReturnJob(submitted.origin(), submitted.request().key()));
   }
 
-  private void announced(DispatchEvent.RunnerAnnounced event) {
+  private void runnerAnnounced(DispatchEvent.RunnerAnnounced event) {
     boolean known = state.pool.find(event.announcement().id()).isPresent();
     state.pool.announce(event.announcement(), state.now).ifPresent(this::runnerReplaced);
-    if (!known && state.dispatching()) {
+    if (!known && state.isDispatching()) {
       state.pool.find(event.announcement().id()).ifPresent(recovery::fence);
     }
-    if (state.dispatching()) {
-      jobs.scheduler().pump();
+    if (state.isDispatching()) {
+      jobs.scheduler().startWaitingTasks();
     }
   }
 
   private void runnerReplaced(RunnerEntry replaced) {
     jobs.scheduler().runnerLost(replaced);
     if (replaced.inRoster) {
-      lost.put(replaced.id, state.now);
+      lostRunners.put(replaced.id, state.now);
     }
   }
 
-  private void inventoried(DispatchEvent.RunnerInventoried event) {
+  private void runnerFenced(DispatchEvent.RunnerFenced event) {
     RunnerEntry runner = state.pool.find(event.runner()).orElse(null);
-    if (runner == null || event.epoch() != state.epoch || runner.inventoried) {
+    if (runner == null || event.epoch() != state.epoch || runner.fenced) {
       return;
     }
-    recovery.inventoried(runner, event.attempts());
-    state.note("runner-fenced", "runner=" + runner.id + " attempts=" + event.attempts().size());
+    recovery.runnerFenced(runner, event.attempts());
+    state.logEvent("runner-fenced", "runner=" + runner.id + " attempts=" + event.attempts().size());
     addToRoster(runner);
   }
 
   private void addToRoster(RunnerEntry runner) {
-    if (recovery.isRegistered() && runner.inventoried && !runner.inRoster && !runner.rosterAsked) {
-      runner.rosterAsked = true;
+    if (recovery.isRegistered()
+        && runner.fenced
+        && !runner.inRoster
+        && !runner.rosterAdditionPending) {
+      runner.rosterAdditionPending = true;
       state.propose(new LedgerRequest.AddRunner(state.epoch, runner.id));
     }
   }
@@ -192,11 +195,11 @@
       case LedgerRequest.Register register when register.epoch() == state.epoch -> {
         if (answered.reply() instanceof LedgerReply.Registered registered
             && !recovery.isRegistered()) {
-          recovery.registered(registered);
-          state.pool.all().forEach(this::addToRoster);
+          recovery.ledgerRegistered(registered);
+          state.pool.runners().forEach(this::addToRoster);
         }
       }
-      case LedgerRequest.AddRunner add -> rosterAnswered(add.runner(), answered.reply());
+      case LedgerRequest.AddRunner add -> rosterChangeAnswered(add.runner(), answered.reply());
       case LedgerRequest.Open open when open.epoch() == state.epoch ->
           jobs.ledgerAnswered(open, answered.reply());
       case LedgerRequest.Close close when close.epoch() == state.epoch ->
@@ -208,31 +211,31 @@
     }
   }
 
-  private void rosterAnswered(RunnerId id, LedgerReply reply) {
+  private void rosterChangeAnswered(RunnerId id, LedgerReply reply) {
     state
         .pool
         .find(id)
         .ifPresent(
             runner -> {
               runner.inRoster = reply instanceof LedgerReply.Granted;
-              runner.rosterAsked = runner.inRoster;
+              runner.rosterAdditionPending = runner.inRoster;
             });
   }
 
   private void tick() {
     for (RunnerEntry expired : state.pool.expire(state.now)) {
-      state.note("runner-expired", "runner=" + expired.id);
+      state.logEvent("runner-expired", "runner=" + expired.id);
       jobs.scheduler().runnerLost(expired);
       if (expired.inRoster) {
-        lost.put(expired.id, state.now);
+        lostRunners.put(expired.id, state.now);
       }
     }
-    leaveRoster();
-    if (!recovery.isRegistered() && state.now >= registerAgainAt) {
+    removeLostRunners();
+    if (!recovery.isRegistered() && state.now >= nextRegistrationAt) {
       register();
     }
     recovery.tick();
-    state.pool.all().forEach(this::addToRoster);
+    state.pool.runners().forEach(this::addToRoster);
     jobs.tick();
     jobs.scheduler().tick();
   }
@@ -243,11 +246,12 @@
    * <p>Earlier, a dispatcher that takes over would find the open job and a roster without the lost
    * runner, conclude that the job never began, and start it a second time.
    */
-  private void leaveRoster() {
-    lost.entrySet()
+  private void removeLostRunners() {
+    lostRunners
+        .entrySet()
         .removeIf(
             entry -> {
-              boolean settled = jobs.guardedSettledUntil(entry.getValue());
+              boolean settled = jobs.areAtMostOnceJobsClosed(entry.getValue());
               if (settled) {
                 state.propose(new LedgerRequest.RemoveRunner(state.epoch, entry.getKey()));
               }
@@ -256,7 +260,7 @@
   }
 
   private void register() {
-    registerAgainAt = state.now + REGISTER_AGAIN_MILLIS;
+    nextRegistrationAt = state.now + REGISTRATION_RETRY_INTERVAL_MILLIS;
     state.propose(new LedgerRequest.Register(state.epoch));
   }
 
--- a/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/FairQueue.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/FairQueue.java
@@ -37,14 +37,14 @@
   void cancel(TaskEntry task) {
     if (task.state == TaskEntry.State.QUEUED) {
       task.state = TaskEntry.State.ENDED;
-      leave(task);
+      recordRemoval(task);
     }
   }
 
   /** Returns the task that goes next, without removing it, or null if none waits. */
   @Nullable TaskEntry peek() {
     for (PriorityClass level : classes.values()) {
-      Flow flow = level.first();
+      Flow flow = level.nextFlow();
       if (flow != null) {
         return flow.heap.peek();
       }
@@ -58,7 +58,7 @@
     if (level != null) {
       level.remove(task);
     }
-    leave(task);
+    recordRemoval(task);
   }
 
   int size() {
@@ -83,12 +83,12 @@
     return queuedWorkMillis;
   }
 
-  private void leave(TaskEntry task) {
+  private void recordRemoval(TaskEntry task) {
     queuedWorkMillis = Math.max(0.0, queuedWorkMillis - task.expectedMillis);
     size--;
     PriorityClass level = classes.get(task.job.rule.priority());
     if (level != null) {
-      level.leave(task);
+      level.recordRemoval(task);
     }
   }
 
@@ -110,7 +110,7 @@
       flow.workMillis += task.expectedMillis;
     }
 
-    @Nullable Flow first() {
+    @Nullable Flow nextFlow() {
       Flow best = null;
       for (Flow flow : flows.values()) {
         flow.skipEnded();
@@ -129,7 +129,7 @@
       }
     }
 
-    void leave(TaskEntry task) {
+    void recordRemoval(TaskEntry task) {
       Flow flow = flows.get(task.job.request.key().caller());
       if (flow != null) {
         flow.waiting--;
--- a/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/JobEntry.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/JobEntry.java
@@ -18,9 +18,9 @@
   final long arrivedAt;
   final long deadlineAt;
   final List<TaskEntry> tasks;
-  final Set<String> waiters = new LinkedHashSet<>(2);
+  final Set<String> waitingHosts = new LinkedHashSet<>(2);
   String state;
-  int unfinished;
+  int unfinishedTasks;
   boolean started;
   boolean reported;
 
@@ -28,11 +28,11 @@
   boolean mayHaveStarted;
 
   /** Whether the ledger granted the intent to run. */
-  boolean granted;
+  boolean intentGranted;
 
   boolean cancelled;
-  long closeAgainAt;
-  long doneAt;
+  long nextCloseAt;
+  long finishedAt;
   JobOutcome.@Nullable Failed refusal;
   @Nullable JobOutcome outcome;
 
@@ -41,20 +41,20 @@
     this.rule = rule;
     this.arrivedAt = now;
     this.deadlineAt = now + request.remainingMillis();
-    this.state = chart.initial();
-    this.unfinished = request.tasks().size();
-    this.tasks = new ArrayList<>(unfinished);
-    for (int i = 0; i < unfinished; i++) {
+    this.state = chart.initialState();
+    this.unfinishedTasks = request.tasks().size();
+    this.tasks = new ArrayList<>(unfinishedTasks);
+    for (int i = 0; i < unfinishedTasks; i++) {
       tasks.add(new TaskEntry(this, i));
     }
   }
 
   /** Returns whether the ledger guards the job: it must run at most once. */
-  boolean guarded() {
+  boolean isAtMostOnce() {
     return !rule.idempotent();
   }
 
-  boolean in(String name) {
+  boolean isInState(String name) {
     return state.equals(name);
   }
 }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/JobTable.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/JobTable.java
@@ -20,14 +20,14 @@
  */
 final class JobTable {
 
-  private static final long MOST_KEPT_CHARACTERS = 16_000_000;
+  private static final long MAX_RETAINED_CHARACTERS = 16_000_000;
 
   private final Map<SubmissionKey, JobEntry> jobs = new HashMap<>();
   private final PriorityQueue<JobEntry> byDeadline =
       new PriorityQueue<>(Comparator.comparingLong((JobEntry job) -> job.deadlineAt));
-  private final PriorityQueue<JobEntry> byDone =
-      new PriorityQueue<>(Comparator.comparingLong((JobEntry job) -> job.doneAt));
-  private long keptCharacters;
+  private final PriorityQueue<JobEntry> byFinishTime =
+      new PriorityQueue<>(Comparator.comparingLong((JobEntry job) -> job.finishedAt));
+  private long retainedCharacters;
 
   @Nullable JobEntry find(SubmissionKey key) {
     return jobs.get(key);
@@ -38,21 +38,21 @@
     byDeadline.add(job);
   }
 
-  void keep(JobEntry job) {
-    byDone.add(job);
-    keptCharacters += size(job);
+  void retain(JobEntry job) {
+    byFinishTime.add(job);
+    retainedCharacters += answerCharacters(job);
   }
 
-  void drop(JobEntry job) {
+  void remove(JobEntry job) {
     jobs.remove(job.request.key(), job);
   }
 
-  Collection<JobEntry> all() {
+  Collection<JobEntry> jobs() {
     return jobs.values();
   }
 
   /** Removes and returns the jobs whose deadline has passed; finished ones are not among them. */
-  List<JobEntry> overdue(long now) {
+  List<JobEntry> removeOverdue(long now) {
     List<JobEntry> overdue = new ArrayList<>();
     while (!byDeadline.isEmpty() && byDeadline.peek().deadlineAt <= now) {
       JobEntry job = byDeadline.poll();
@@ -65,23 +65,23 @@
 
   /** Forgets finished jobs that were kept long enough, or that no longer fit. */
   void expire(long now, long retentionMillis) {
-    while (!byDone.isEmpty()
-        && (byDone.peek().doneAt + retentionMillis <= now
-            || keptCharacters > MOST_KEPT_CHARACTERS)) {
-      JobEntry job = byDone.poll();
-      keptCharacters -= size(job);
-      drop(job);
+    while (!byFinishTime.isEmpty()
+        && (byFinishTime.peek().finishedAt + retentionMillis <= now
+            || retainedCharacters > MAX_RETAINED_CHARACTERS)) {
+      JobEntry job = byFinishTime.poll();
+      retainedCharacters -= answerCharacters(job);
+      remove(job);
     }
   }
 
   void clear() {
     jobs.clear();
     byDeadline.clear();
-    byDone.clear();
-    keptCharacters = 0;
+    byFinishTime.clear();
+    retainedCharacters = 0;
   }
 
-  private static long size(JobEntry job) {
+  private static long answerCharacters(JobEntry job) {
     return switch (job.outcome) {
       case JobOutcome.Completed completed ->
           completed.answers().stream().mapToLong(String::length).sum();
--- a/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/RatioBudget.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/RatioBudget.java
@@ -20,11 +20,11 @@
     }
   }
 
-  void earn() {
+  void deposit() {
     balance = Math.min(BURST + 1000.0 * ratio, balance + ratio);
   }
 
-  boolean spend() {
+  boolean tryWithdraw() {
     if (balance < 1.0) {
       return false;
     }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/RunTimeEstimator.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/RunTimeEstimator.java
@@ -9,14 +9,14 @@
  */
 final class RunTimeEstimator {
 
-  private static final int BUCKETS = 64;
-  private static final double GROWTH = 1.25;
-  private static final int ENOUGH = 20;
-  private static final int HALVE_AT = 2000;
-  private static final double SMOOTHING = 0.05;
+  private static final int BUCKET_COUNT = 64;
+  private static final double BUCKET_GROWTH_FACTOR = 1.25;
+  private static final int MIN_SAMPLES = 20;
+  private static final int HALVING_SAMPLES = 2000;
+  private static final double MIN_SAMPLE_WEIGHT = 0.05;
 
   private final double declaredMillis;
-  private final int[] counts = new int[BUCKETS];
+  private final int[] counts = new int[BUCKET_COUNT];
   private int total;
   private double meanMillis;
 
@@ -26,44 +26,45 @@
   }
 
   void record(long millis) {
-    counts[bucket(millis)]++;
+    counts[bucketIndex(millis)]++;
     total++;
-    double weight = Math.max(SMOOTHING, 1.0 / total);
+    double weight = Math.max(MIN_SAMPLE_WEIGHT, 1.0 / total);
     meanMillis += weight * ((double) millis - meanMillis);
-    if (total >= HALVE_AT) {
+    if (total >= HALVING_SAMPLES) {
       total = 0;
-      for (int i = 0; i < BUCKETS; i++) {
+      for (int i = 0; i < BUCKET_COUNT; i++) {
         counts[i] /= 2;
         total += counts[i];
       }
     }
   }
 
-  boolean measured() {
-    return total >= ENOUGH;
+  boolean hasEnoughSamples() {
+    return total >= MIN_SAMPLES;
   }
 
   double expectedMillis() {
-    return measured() ? meanMillis : declaredMillis;
+    return hasEnoughSamples() ? meanMillis : declaredMillis;
   }
 
   /** Returns the upper bound of the bucket that holds the quantile, in milliseconds. */
   double quantileMillis(double quantile) {
     long rank = (long) Math.ceil(quantile * total);
     long seen = 0;
-    for (int i = 0; i < BUCKETS; i++) {
+    for (int i = 0; i < BUCKET_COUNT; i++) {
       seen += counts[i];
       if (seen >= rank && seen > 0) {
-        return Math.pow(GROWTH, i + 1);
+        return Math.pow(BUCKET_GROWTH_FACTOR, i + 1);
       }
     }
     return declaredMillis;
   }
 
-  private static int bucket(long millis) {
+  private static int bucketIndex(long millis) {
     if (millis < 1) {
       return 0;
     }
-    return Math.min(BUCKETS - 1, (int) (Math.log((double) millis) / Math.log(GROWTH)));
+    return Math.min(
+        BUCKET_COUNT - 1, (int) (Math.log((double) millis) / Math.log(BUCKET_GROWTH_FACTOR)));
   }
 }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/RunnerEntry.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/RunnerEntry.java
@@ -13,68 +13,69 @@
 final class RunnerEntry {
 
   private static final int FAILURES_TO_EJECT = 3;
-  private static final long FIRST_EJECTION_MILLIS = 5_000;
-  private static final long LONGEST_EJECTION_MILLIS = 60_000;
-  private static final int SUCCESSES_TO_RAISE = 8;
+  private static final long INITIAL_EJECTION_MILLIS = 5_000;
+  private static final long MAX_EJECTION_MILLIS = 60_000;
+  private static final int SUCCESSES_PER_LIMIT_INCREASE = 8;
 
   final RunnerId id;
   final Map<AttemptId, AttemptEntry> attempts = new LinkedHashMap<>();
   RunnerAnnouncement announcement;
-  long lastSeenAt;
+  long lastAnnouncedAt;
 
   /** Set once the runner obeys the epoch and has listed its attempts. */
-  boolean inventoried;
+  boolean fenced;
 
   /** Set once the ledger lists the runner, so that guarded tasks may start on it. */
   boolean inRoster;
 
-  boolean rosterAsked;
-  long fenceAgainAt;
+  boolean rosterAdditionPending;
+  long nextFenceAt;
   long pausedUntil;
   long ejectedUntil;
   boolean probing;
   private final Set<SubmissionKey> failedJobs = new LinkedHashSet<>();
   private int ejections;
-  private int limit;
+  private int concurrencyLimit;
   private int successesAtLimit;
 
   RunnerEntry(RunnerAnnouncement announcement, long now) {
     this.id = announcement.id();
     this.announcement = announcement;
-    this.lastSeenAt = now;
-    this.limit = announcement.slots();
+    this.lastAnnouncedAt = now;
+    this.concurrencyLimit = announcement.slots();
   }
 
   String address() {
     return announcement.address();
   }
 
-  int limit() {
-    return probing ? 1 : Math.min(limit, announcement.slots());
+  int concurrencyLimit() {
+    return probing ? 1 : Math.min(concurrencyLimit, announcement.slots());
   }
 
   int freeSlots() {
-    return Math.max(0, limit() - attempts.size());
+    return Math.max(0, concurrencyLimit() - attempts.size());
   }
 
-  boolean open(long now) {
-    return inventoried && !announcement.leaving() && now >= pausedUntil && now >= ejectedUntil;
+  boolean isAvailable(long now) {
+    return fenced && !announcement.leaving() && now >= pausedUntil && now >= ejectedUntil;
   }
 
-  boolean ejected(long now) {
+  boolean isEjected(long now) {
     return now < ejectedUntil;
   }
 
   /**
    * Notes a success: the runner is healthy, and its limit rises by one slot after some successes.
    */
-  void succeeded() {
+  void recordSuccess() {
     failedJobs.clear();
     probing = false;
     ejections = 0;
     successesAtLimit++;
-    if (successesAtLimit >= SUCCESSES_TO_RAISE && limit < announcement.slots()) {
-      limit++;
+    if (successesAtLimit >= SUCCESSES_PER_LIMIT_INCREASE
+        && concurrencyLimit < announcement.slots()) {
+      concurrencyLimit++;
       successesAtLimit = 0;
     }
   }
@@ -86,18 +87,18 @@
    * failures of several submissions in a row without a success; one bad job that fails on every
    * runner counts once for each runner and so ejects none.
    */
-  boolean failed(SubmissionKey key) {
+  boolean recordFailure(SubmissionKey key) {
     failedJobs.add(key);
     return probing || failedJobs.size() >= FAILURES_TO_EJECT;
   }
 
   /** Takes a failure back that turned out to be the job's own. */
-  void forgive(SubmissionKey key) {
+  void retractFailure(SubmissionKey key) {
     failedJobs.remove(key);
   }
 
   void eject(long now) {
-    long pause = Math.min(LONGEST_EJECTION_MILLIS, FIRST_EJECTION_MILLIS << Math.min(ejections, 4));
+    long pause = Math.min(MAX_EJECTION_MILLIS, INITIAL_EJECTION_MILLIS << Math.min(ejections, 4));
     ejections++;
     ejectedUntil = now + pause;
     probing = true;
@@ -105,8 +106,8 @@
   }
 
   /** Notes that the runner refused for want of a slot: its limit falls to what it now runs. */
-  void refused(long now, long pauseMillis) {
-    limit = Math.max(1, Math.min(limit, attempts.size()));
+  void recordRejection(long now, long pauseMillis) {
+    concurrencyLimit = Math.max(1, Math.min(concurrencyLimit, attempts.size()));
     successesAtLimit = 0;
     pausedUntil = now + pauseMillis;
   }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/RunnerPool.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/RunnerPool.java
@@ -32,7 +32,7 @@
     }
     if (known != null && known.id.equals(announcement.id())) {
       known.announcement = announcement;
-      known.lastSeenAt = now;
+      known.lastAnnouncedAt = now;
       return Optional.empty();
     }
     byName.put(announcement.id().name(), new RunnerEntry(announcement, now));
@@ -44,19 +44,19 @@
     return entry != null && entry.id.equals(id) ? Optional.of(entry) : Optional.empty();
   }
 
-  Collection<RunnerEntry> all() {
+  Collection<RunnerEntry> runners() {
     return byName.values();
   }
 
   /** Removes and returns the runners whose lease has run out. */
   List<RunnerEntry> expire(long now) {
     List<RunnerEntry> expired = new ArrayList<>();
-    byName.values().removeIf(entry -> lapsed(entry, now) && expired.add(entry));
+    byName.values().removeIf(entry -> hasExpired(entry, now) && expired.add(entry));
     return expired;
   }
 
-  boolean lapsed(RunnerEntry entry, long now) {
-    return now - entry.lastSeenAt > LEASE_MILLIS;
+  boolean hasExpired(RunnerEntry entry, long now) {
+    return now - entry.lastAnnouncedAt > LEASE_MILLIS;
   }
 
   /**
@@ -66,39 +66,39 @@
    * that also spreads the loss when one dies. A runner on which the task failed before is taken
    * only where no other could ever serve the task.
    */
-  @Nullable RunnerEntry pick(TaskEntry task, @Nullable RunnerEntry avoided, long now) {
+  @Nullable RunnerEntry select(TaskEntry task, @Nullable RunnerEntry avoided, long now) {
     RunnerEntry best = null;
     boolean untriedExists = false;
     RunnerEntry bestTried = null;
     for (RunnerEntry entry : byName.values()) {
-      if (!serves(entry, task.job.rule) || !entry.open(now) || entry.equals(avoided)) {
+      if (!canServe(entry, task.job.rule) || !entry.isAvailable(now) || entry.equals(avoided)) {
         continue;
       }
       boolean tried = task.failedOn.contains(entry.id);
       untriedExists |= !tried;
-      if (!mayTake(entry, task)) {
+      if (!mayStart(entry, task)) {
         continue;
       }
       if (tried) {
-        bestTried = better(bestTried, entry);
+        bestTried = lessLoaded(bestTried, entry);
       } else {
-        best = better(best, entry);
+        best = lessLoaded(best, entry);
       }
     }
     return best != null || untriedExists ? best : bestTried;
   }
 
   /** Returns whether any runner, busy or not, could serve the kind of job. */
-  boolean servable(JobRule rule) {
-    return byName.values().stream().anyMatch(entry -> serves(entry, rule));
+  boolean isServable(JobRule rule) {
+    return byName.values().stream().anyMatch(entry -> canServe(entry, rule));
   }
 
   /** Returns the slots of the runners that serve the kind of job and take work. */
-  int slots(JobRule rule, long now) {
+  int availableSlots(JobRule rule, long now) {
     int slots = 0;
     for (RunnerEntry entry : byName.values()) {
-      if (serves(entry, rule) && entry.open(now)) {
-        slots += entry.limit();
+      if (canServe(entry, rule) && entry.isAvailable(now)) {
+        slots += entry.concurrencyLimit();
       }
     }
     return slots;
@@ -107,7 +107,7 @@
   int freeSlots(long now) {
     int free = 0;
     for (RunnerEntry entry : byName.values()) {
-      if (entry.open(now)) {
+      if (entry.isAvailable(now)) {
         free += entry.freeSlots();
       }
     }
@@ -117,8 +117,8 @@
   int totalSlots(long now) {
     int total = 0;
     for (RunnerEntry entry : byName.values()) {
-      if (entry.open(now)) {
-        total += entry.limit();
+      if (entry.isAvailable(now)) {
+        total += entry.concurrencyLimit();
       }
     }
     return total;
@@ -126,27 +126,27 @@
 
   /** Returns whether one more ejection keeps the ejected share within the limit. */
   boolean mayEject(double share, long now) {
-    long ejected = byName.values().stream().filter(entry -> entry.ejected(now)).count();
+    long ejected = byName.values().stream().filter(entry -> entry.isEjected(now)).count();
     return ejected + 1 <= share * byName.size();
   }
 
-  private static boolean serves(RunnerEntry entry, JobRule rule) {
+  private static boolean canServe(RunnerEntry entry, JobRule rule) {
     return entry.announcement.services().contains(rule.service())
         && entry.announcement.labels().containsAll(rule.labels());
   }
 
-  private static boolean mayTake(RunnerEntry entry, TaskEntry task) {
+  private static boolean mayStart(RunnerEntry entry, TaskEntry task) {
     // A runner on probation may fail what it gets, so it gets only what may run again.
-    boolean fit = task.job.guarded() ? entry.inRoster && !entry.probing : true;
+    boolean fit = task.job.isAtMostOnce() ? entry.inRoster && !entry.probing : true;
     return fit && entry.freeSlots() > 0;
   }
 
-  private static RunnerEntry better(@Nullable RunnerEntry current, RunnerEntry candidate) {
+  private static RunnerEntry lessLoaded(@Nullable RunnerEntry current, RunnerEntry candidate) {
     if (current == null) {
       return candidate;
     }
-    double currentLoad = (double) current.attempts.size() / current.limit();
-    double candidateLoad = (double) candidate.attempts.size() / candidate.limit();
+    double currentLoad = (double) current.attempts.size() / current.concurrencyLimit();
+    double candidateLoad = (double) candidate.attempts.size() / candidate.concurrencyLimit();
     return candidateLoad < currentLoad ? candidate : current;
   }
 }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/SpillPolicy.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/SpillPolicy.java
@@ -11,7 +11,7 @@
  */
 final class SpillPolicy {
 
-  private static final long MARGIN_MILLIS = 10;
+  private static final long MIN_WAIT_ADVANTAGE_MILLIS = 10;
 
   private final DispatchState state;
   private final AdmissionPolicy admission;
@@ -22,14 +22,16 @@
   }
 
   Optional<String> betterDomain(JobEntry job) {
-    if (!job.guarded() && job.request.keyed()) {
+    if (!job.isAtMostOnce() && job.request.keyed()) {
       return Optional.empty();
     }
-    long waitHere = admission.waitMillis(job.request, job.rule, 1);
-    boolean servable = state.pool.servable(job.rule);
-    return state.otherDomains.entrySet().stream()
+    long waitHere = admission.predictedWaitMillis(job.request, job.rule, 1);
+    boolean servable = state.pool.isServable(job.rule);
+    return state.otherDomainLoads.entrySet().stream()
         .filter(other -> other.getValue().freeSlots() > job.tasks.size())
-        .filter(other -> !servable || waitHere > other.getValue().waitMillis() + MARGIN_MILLIS)
+        .filter(
+            other ->
+                !servable || waitHere > other.getValue().waitMillis() + MIN_WAIT_ADVANTAGE_MILLIS)
         .map(Map.Entry::getKey)
         .findFirst();
   }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/SubmissionSeekers.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/SubmissionLookups.java
@@ -13,18 +13,18 @@
  * Hosts that follow or cancel a submission which this dispatcher doesn't have; the ledger says
  * where it is.
  */
-final class SubmissionSeekers {
+final class SubmissionLookups {
 
   private final DispatchState state;
   private final DispatchRecovery recovery;
   private final Map<SubmissionKey, Set<String>> hostsByKey = new HashMap<>();
 
-  SubmissionSeekers(DispatchState state, DispatchRecovery recovery) {
+  SubmissionLookups(DispatchState state, DispatchRecovery recovery) {
     this.state = state;
     this.recovery = recovery;
   }
 
-  void seek(SubmissionKey key, String host) {
+  void lookUp(SubmissionKey key, String host) {
     if (!recovery.isRegistered()) {
       report(host, key, notFound(key));
       return;
@@ -36,7 +36,7 @@
     }
   }
 
-  void answered(SubmissionKey key, LedgerReply reply) {
+  void lookupAnswered(SubmissionKey key, LedgerReply reply) {
     Set<String> hosts = hostsByKey.remove(key);
     if (hosts == null) {
       return;
@@ -61,7 +61,7 @@
   }
 
   private void report(String host, SubmissionKey key, JobOutcome outcome) {
-    state.report(host, key, LedgerRequest.ANY_DIGEST, outcome);
+    state.reportOutcome(host, key, LedgerRequest.ANY_DIGEST, outcome);
   }
 
   private static JobOutcome.Failed notFound(SubmissionKey key) {
--- a/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/TaskEntry.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/TaskEntry.java
@@ -35,7 +35,7 @@
     this.index = index;
   }
 
-  AttemptId nextAttempt() {
+  AttemptId nextAttemptId() {
     attemptsMade++;
     return AttemptId.of(job.request, index, attemptsMade);
   }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/TaskListener.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/TaskListener.java
@@ -17,5 +17,5 @@
   void orphanEnded(AttemptId attempt, AttemptOutcome outcome);
 
   /** A runner refused this dispatcher's epoch. */
-  void fenced(long higherEpoch);
+  void epochSuperseded(long higherEpoch);
 }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/TaskScheduler.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/TaskScheduler.java
@@ -21,18 +21,18 @@
  */
 final class TaskScheduler {
 
-  private static final long SHORTEST_ASK_MILLIS = 1_000;
-  private static final long LONGEST_ASK_MILLIS = 10_000;
-  private static final long UNREACHABLE_PAUSE_MILLIS = 300;
+  private static final long QUERY_INTERVAL_MILLIS = 1_000;
+  private static final long MAX_QUERY_INTERVAL_MILLIS = 10_000;
+  private static final long REJECTION_PAUSE_MILLIS = 300;
   private static final long BUSY_PAUSE_MILLIS = 20;
-  private static final int MOST_REJECTIONS = 50;
+  private static final int MAX_ATTEMPTS_PER_TASK = 50;
   private static final double HEDGE_QUANTILE = 0.95;
-  private static final double HEDGE_FACTOR = 1.5;
+  private static final double HEDGE_THRESHOLD_FACTOR = 1.5;
 
   private final DispatchState state;
   private final TaskListener listener;
-  private final Map<PoolKey, FairQueue> queues = new LinkedHashMap<>();
-  private final Map<String, Integer> heldByCaller = new HashMap<>();
+  private final Map<QueueKey, FairQueue> queues = new LinkedHashMap<>();
+  private final Map<String, Integer> tasksByCaller = new HashMap<>();
   private final Map<String, Integer> runningByService = new HashMap<>();
   private final Map<String, RatioBudget> retryBudgets = new HashMap<>();
   private final Map<RunnerEntry, List<AttemptId>> cancellations = new LinkedHashMap<>();
@@ -45,26 +45,26 @@
   }
 
   FairQueue queue(JobRule rule) {
-    return queues.computeIfAbsent(PoolKey.of(rule), key -> new FairQueue());
+    return queues.computeIfAbsent(QueueKey.of(rule), key -> new FairQueue());
   }
 
   /** Returns the tasks, waiting and running, that the caller has here. */
-  int heldBy(String caller) {
-    return heldByCaller.getOrDefault(caller, 0);
+  int tasksOf(String caller) {
+    return tasksByCaller.getOrDefault(caller, 0);
   }
 
-  int waiting() {
+  int waitingTasks() {
     return queues.values().stream().mapToInt(FairQueue::size).sum();
   }
 
   /** Returns the predicted wait of a task that arrives now, in milliseconds. */
-  long typicalWaitMillis() {
+  long predictedWaitMillis() {
     double work = queues.values().stream().mapToDouble(FairQueue::queuedWorkMillis).sum();
     return Math.round(work / Math.max(1, state.pool.totalSlots(state.now)));
   }
 
   /** Returns free slots for the kind of job that no waiting task will take. */
-  int idleSlots(JobRule rule) {
+  int spareSlots(JobRule rule) {
     return Math.max(0, state.pool.freeSlots(state.now) - queue(rule).size());
   }
 
@@ -74,8 +74,8 @@
   }
 
   /** Counts the tasks of a job against its caller's quota. */
-  void reserve(JobEntry job) {
-    heldByCaller.merge(job.request.key().caller(), job.tasks.size(), Integer::sum);
+  void reserveQuota(JobEntry job) {
+    tasksByCaller.merge(job.request.key().caller(), job.tasks.size(), Integer::sum);
   }
 
   /** Puts a task into the queue. */
@@ -86,7 +86,7 @@
   }
 
   /** Ends a task: it leaves the queue, and its attempts are stopped. */
-  void end(TaskEntry task) {
+  void endTask(TaskEntry task) {
     if (task.state == TaskEntry.State.ENDED && task.attempts.isEmpty()) {
       return;
     }
@@ -95,24 +95,24 @@
     }
     task.state = TaskEntry.State.ENDED;
     for (AttemptEntry attempt : List.copyOf(task.attempts)) {
-      cancel(attempt);
+      cancelAttempt(attempt);
     }
     task.attempts.clear();
-    release(task);
+    releaseQuota(task);
   }
 
   /** Starts waiting tasks while there are free slots for them. */
-  void pump() {
-    for (Map.Entry<PoolKey, FairQueue> entry : queues.entrySet()) {
+  void startWaitingTasks() {
+    for (Map.Entry<QueueKey, FairQueue> entry : queues.entrySet()) {
       FairQueue queue = entry.getValue();
       TaskEntry task = queue.peek();
-      while (task != null && belowConcurrency(entry.getKey().service())) {
-        RunnerEntry runner = state.pool.pick(task, null, state.now);
+      while (task != null && isBelowConcurrencyLimit(entry.getKey().service())) {
+        RunnerEntry runner = state.pool.select(task, null, state.now);
         if (runner == null) {
           break;
         }
         queue.remove(task);
-        start(task, runner);
+        startAttempt(task, runner);
         task = queue.peek();
       }
     }
@@ -124,26 +124,28 @@
     AttemptEntry attempt = runner == null ? null : runner.attempts.get(id);
     if (attempt == null) {
       // Late or crossed: the attempt was settled by other means, or its runner is gone.
-      state.note("attempt-late", "attempt=" + id + " runner=" + runnerId);
+      state.logEvent("attempt-late", "attempt=" + id + " runner=" + runnerId);
       return;
     }
-    settle(attempt, outcome);
+    handleOutcome(attempt, outcome);
   }
 
   /** Handles what a runner said of an attempt. */
-  void attemptAsked(AttemptId id, RunnerId runnerId, AttemptStatus status) {
+  void attemptQueried(AttemptId id, RunnerId runnerId, AttemptStatus status) {
     RunnerEntry runner = state.pool.find(runnerId).orElse(null);
     AttemptEntry attempt = runner == null ? null : runner.attempts.get(id);
     if (attempt == null) {
       return;
     }
-    attempt.asking = false;
+    attempt.queryPending = false;
     switch (status) {
-      case AttemptStatus.Running running -> askLater(attempt, attempt.askIntervalMillis * 2);
-      case AttemptStatus.Finished finished -> settle(attempt, finished.outcome());
+      case AttemptStatus.Running running -> scheduleQuery(attempt, attempt.queryIntervalMillis * 2);
+      case AttemptStatus.Finished finished -> handleOutcome(attempt, finished.outcome());
       case AttemptStatus.NeverBegan never ->
-          settle(attempt, new AttemptOutcome.Rejected("the runner has not seen the attempt"));
-      case AttemptStatus.Unreachable unreachable -> askLater(attempt, SHORTEST_ASK_MILLIS / 2);
+          handleOutcome(
+              attempt, new AttemptOutcome.Rejected("the runner has not seen the attempt"));
+      case AttemptStatus.Unreachable unreachable ->
+          scheduleQuery(attempt, QUERY_INTERVAL_MILLIS / 2);
     }
   }
 
@@ -162,12 +164,12 @@
   void runnerLost(RunnerEntry runner) {
     for (AttemptEntry attempt : List.copyOf(runner.attempts.values())) {
       TaskEntry task = attempt.task;
-      remove(attempt);
+      removeAttempt(attempt);
       if (task == null || task.state == TaskEntry.State.ENDED || !task.attempts.isEmpty()) {
         continue;
       }
       String detail = "runner " + runner.id + " was lost while it ran the task";
-      if (task.job.guarded()) {
+      if (task.job.isAtMostOnce()) {
         listener.taskFailed(task, ErrorKind.OUTCOME_UNKNOWN, detail);
       } else {
         retry(task, detail);
@@ -177,10 +179,10 @@
 
   /** Asks after silent attempts, starts hedges and sends the collected cancellations. */
   void tick() {
-    for (RunnerEntry runner : state.pool.all()) {
+    for (RunnerEntry runner : state.pool.runners()) {
       for (AttemptEntry attempt : List.copyOf(runner.attempts.values())) {
-        if (!attempt.asking && state.now >= attempt.nextAskAt) {
-          ask(attempt);
+        if (!attempt.queryPending && state.now >= attempt.nextQueryAt) {
+          queryAttempt(attempt);
         }
         hedge(attempt);
       }
@@ -196,22 +198,22 @@
   /** Forgets all tasks and attempts; the next dispatcher rebuilds them from the runners. */
   void clear() {
     queues.clear();
-    heldByCaller.clear();
+    tasksByCaller.clear();
     runningByService.clear();
     cancellations.clear();
-    state.pool.all().forEach(runner -> runner.attempts.clear());
+    state.pool.runners().forEach(runner -> runner.attempts.clear());
   }
 
-  private void start(TaskEntry task, RunnerEntry runner) {
+  private void startAttempt(TaskEntry task, RunnerEntry runner) {
     JobEntry job = task.job;
-    AttemptEntry attempt = new AttemptEntry(task.nextAttempt(), runner, task, state.now);
+    AttemptEntry attempt = new AttemptEntry(task.nextAttemptId(), runner, task, state.now);
     attempt.service = job.rule.service();
     runner.attempts.put(attempt.id, attempt);
     task.attempts.add(attempt);
     task.state = TaskEntry.State.RUNNING;
     job.started = true;
     runningByService.merge(job.rule.service(), 1, Integer::sum);
-    askLater(attempt, firstAskMillis(job.rule));
+    scheduleQuery(attempt, firstQueryDelayMillis(job.rule));
     state.emit(
         new DispatchEffect.StartAttempt(
             runner.id,
@@ -222,38 +224,39 @@
             job.request.tasks().get(task.index),
             Math.max(1, job.deadlineAt - state.now)));
     if (task.attemptsMade == 1) {
-      retryBudget(task).earn();
-      hedgeBudget.earn();
+      retryBudget(task).deposit();
+      hedgeBudget.deposit();
     }
   }
 
-  private void settle(AttemptEntry attempt, AttemptOutcome outcome) {
+  private void handleOutcome(AttemptEntry attempt, AttemptOutcome outcome) {
     if (attempt.task == null && !attempt.cancelled) {
       listener.orphanEnded(attempt.id, outcome);
     }
     switch (outcome) {
       case AttemptOutcome.Succeeded succeeded -> {
-        attempt.runner.succeeded();
+        attempt.runner.recordSuccess();
         TaskEntry task = attempt.task;
-        remove(attempt);
+        removeAttempt(attempt);
         if (task != null && task.state != TaskEntry.State.ENDED) {
           state.runTime(task.job.rule).record(state.now - attempt.startedAt);
-          state.health(task.job.rule).succeeded(attempt.runner.id, state.now);
-          end(task);
+          state.recentSuccesses(task.job.rule).recordSuccess(attempt.runner.id, state.now);
+          endTask(task);
           listener.taskSucceeded(task, succeeded.answer());
         }
       }
       case AttemptOutcome.Failed failed -> attemptFailed(attempt, failed.reason());
       case AttemptOutcome.Rejected rejected -> attemptRejected(attempt, rejected.reason());
       case AttemptOutcome.Fenced fenced -> {
-        remove(attempt);
-        listener.fenced(fenced.epoch());
+        removeAttempt(attempt);
+        listener.epochSuperseded(fenced.epoch());
       }
       case AttemptOutcome.Uncertain uncertain -> {
         // The connection broke or went silent. Running the task again could double it, so the
         // runner is asked over a new connection.
-        state.note("attempt-uncertain", "attempt=" + attempt.id + " reason=" + uncertain.reason());
-        ask(attempt);
+        state.logEvent(
+            "attempt-uncertain", "attempt=" + attempt.id + " reason=" + uncertain.reason());
+        queryAttempt(attempt);
       }
     }
   }
@@ -261,16 +264,16 @@
   private void attemptFailed(AttemptEntry attempt, String reason) {
     TaskEntry task = attempt.task;
     RunnerEntry runner = attempt.runner;
-    remove(attempt);
+    removeAttempt(attempt);
     if (task == null || task.state == TaskEntry.State.ENDED || attempt.cancelled) {
       return;
     }
-    judge(runner, task);
+    recordFailure(runner, task);
     task.failedOn.add(runner.id);
     if (!task.attempts.isEmpty()) {
       return;
     }
-    if (task.job.guarded()) {
+    if (task.job.isAtMostOnce()) {
       listener.taskFailed(task, ErrorKind.TASK_FAILED, reason);
     } else {
       retry(task, reason);
@@ -278,34 +281,35 @@
   }
 
   /** Ejects a runner that fails everything, unless too many are ejected already. */
-  private void judge(RunnerEntry runner, TaskEntry task) {
+  private void recordFailure(RunnerEntry runner, TaskEntry task) {
     SubmissionKey key = task.job.request.key();
     if (!task.failedOn.isEmpty()) {
       // The task failed on another runner too, so the job is to blame and not the runners.
-      task.failedOn.forEach(id -> state.pool.find(id).ifPresent(other -> other.forgive(key)));
+      task.failedOn.forEach(
+          id -> state.pool.find(id).ifPresent(other -> other.retractFailure(key)));
       return;
     }
-    if (!state.health(task.job.rule).succeededElsewhere(runner.id, state.now)) {
+    if (!state.recentSuccesses(task.job.rule).hasSucceededElsewhere(runner.id, state.now)) {
       return;
     }
-    if (runner.failed(key)
-        && state.pool.mayEject(state.configuration.policy().ejectShare(), state.now)) {
+    if (runner.recordFailure(key)
+        && state.pool.mayEject(state.configuration.policy().maxEjectedShare(), state.now)) {
       runner.eject(state.now);
-      state.note("runner-ejected", "runner=" + runner.id + " until=" + runner.ejectedUntil);
+      state.logEvent("runner-ejected", "runner=" + runner.id + " until=" + runner.ejectedUntil);
     }
   }
 
   private void attemptRejected(AttemptEntry attempt, String reason) {
     final TaskEntry task = attempt.task;
     final RunnerEntry runner = attempt.runner;
-    remove(attempt);
+    removeAttempt(attempt);
     boolean busy = reason.equals("busy");
-    runner.refused(state.now, busy ? BUSY_PAUSE_MILLIS : UNREACHABLE_PAUSE_MILLIS);
-    state.note("attempt-rejected", "attempt=" + attempt.id + " reason=" + reason);
+    runner.recordRejection(state.now, busy ? BUSY_PAUSE_MILLIS : REJECTION_PAUSE_MILLIS);
+    state.logEvent("attempt-rejected", "attempt=" + attempt.id + " reason=" + reason);
     if (task == null || task.state == TaskEntry.State.ENDED || !task.attempts.isEmpty()) {
       return;
     }
-    if (task.attemptsMade >= MOST_REJECTIONS) {
+    if (task.attemptsMade >= MAX_ATTEMPTS_PER_TASK) {
       listener.taskFailed(task, ErrorKind.TASK_FAILED, "refused by every runner: " + reason);
     } else {
       enqueue(task);
@@ -315,9 +319,9 @@
   /** Starts the task again if its rule and its caller's budget allow it. */
   private void retry(TaskEntry task, String reason) {
     boolean allowed = task.retriesMade < task.job.rule.retries();
-    if (allowed && retryBudget(task).spend()) {
+    if (allowed && retryBudget(task).tryWithdraw()) {
       task.retriesMade++;
-      state.note("task-retried", "job=" + task.job.request.key() + " task=" + task.index);
+      state.logEvent("task-retried", "job=" + task.job.request.key() + " task=" + task.index);
       enqueue(task);
     } else {
       listener.taskFailed(task, ErrorKind.TASK_FAILED, reason);
@@ -332,49 +336,49 @@
    */
   private void hedge(AttemptEntry attempt) {
     TaskEntry task = attempt.task;
-    if (task == null || !task.job.rule.hedge() || task.attempts.size() != 1) {
+    if (task == null || !task.job.rule.hedgingEnabled() || task.attempts.size() != 1) {
       return;
     }
     RunTimeEstimator runTime = state.runTime(task.job.rule);
-    double threshold = HEDGE_FACTOR * runTime.quantileMillis(HEDGE_QUANTILE);
-    if (!runTime.measured()
+    double threshold = HEDGE_THRESHOLD_FACTOR * runTime.quantileMillis(HEDGE_QUANTILE);
+    if (!runTime.hasEnoughSamples()
         || state.now - attempt.startedAt < threshold
         || queue(task.job.rule).size() > 0) {
       return;
     }
-    RunnerEntry other = state.pool.pick(task, attempt.runner, state.now);
-    if (other != null && hedgeBudget.spend()) {
-      state.note("task-hedged", "attempt=" + attempt.id + " runner=" + other.id);
-      start(task, other);
+    RunnerEntry other = state.pool.select(task, attempt.runner, state.now);
+    if (other != null && hedgeBudget.tryWithdraw()) {
+      state.logEvent("task-hedged", "attempt=" + attempt.id + " runner=" + other.id);
+      startAttempt(task, other);
     }
   }
 
-  private void ask(AttemptEntry attempt) {
-    attempt.asking = true;
+  private void queryAttempt(AttemptEntry attempt) {
+    attempt.queryPending = true;
     RunnerEntry runner = attempt.runner;
     state.emit(
-        new DispatchEffect.AskAttempt(runner.id, runner.address(), state.epoch, attempt.id, 0));
+        new DispatchEffect.QueryAttempt(runner.id, runner.address(), state.epoch, attempt.id, 0));
   }
 
-  private void askLater(AttemptEntry attempt, long intervalMillis) {
-    attempt.askIntervalMillis =
-        Math.min(LONGEST_ASK_MILLIS, Math.max(SHORTEST_ASK_MILLIS / 4, intervalMillis));
-    attempt.nextAskAt = state.now + attempt.askIntervalMillis;
+  private void scheduleQuery(AttemptEntry attempt, long intervalMillis) {
+    attempt.queryIntervalMillis =
+        Math.min(MAX_QUERY_INTERVAL_MILLIS, Math.max(QUERY_INTERVAL_MILLIS / 4, intervalMillis));
+    attempt.nextQueryAt = state.now + attempt.queryIntervalMillis;
   }
 
-  private long firstAskMillis(JobRule rule) {
+  private long firstQueryDelayMillis(JobRule rule) {
     RunTimeEstimator runTime = state.runTime(rule);
-    double usual = runTime.measured() ? runTime.quantileMillis(0.99) : rule.runTimeMillis();
-    return Math.max(SHORTEST_ASK_MILLIS, Math.round(2 * usual));
+    double usual = runTime.hasEnoughSamples() ? runTime.quantileMillis(0.99) : rule.runTimeMillis();
+    return Math.max(QUERY_INTERVAL_MILLIS, Math.round(2 * usual));
   }
 
-  private void cancel(AttemptEntry attempt) {
+  private void cancelAttempt(AttemptEntry attempt) {
     attempt.cancelled = true;
     attempt.task = null;
     cancellations.computeIfAbsent(attempt.runner, runner -> new ArrayList<>()).add(attempt.id);
   }
 
-  private void remove(AttemptEntry attempt) {
+  private void removeAttempt(AttemptEntry attempt) {
     attempt.runner.attempts.remove(attempt.id);
     runningByService.merge(attempt.service, -1, Integer::sum);
     if (attempt.task != null) {
@@ -382,12 +386,12 @@
     }
   }
 
-  private void release(TaskEntry task) {
+  private void releaseQuota(TaskEntry task) {
     String caller = task.job.request.key().caller();
-    heldByCaller.computeIfPresent(caller, (name, held) -> held > 1 ? held - 1 : null);
+    tasksByCaller.computeIfPresent(caller, (name, held) -> held > 1 ? held - 1 : null);
   }
 
-  private boolean belowConcurrency(String service) {
+  private boolean isBelowConcurrencyLimit(String service) {
     ServiceRule rule = state.configuration.services().get(service);
     return rule == null || runningByService.getOrDefault(service, 0) < rule.concurrency();
   }
@@ -407,10 +411,10 @@
   }
 
   /** The runners that can serve a kind of job share a queue. */
-  private record PoolKey(String service, List<String> labels) {
+  private record QueueKey(String service, List<String> labels) {
 
-    static PoolKey of(JobRule rule) {
-      return new PoolKey(rule.service(), rule.labels());
+    static QueueKey of(JobRule rule) {
+      return new QueueKey(rule.service(), rule.labels());
     }
   }
 }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/entry/EntryEvent.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/entry/EntryEvent.java
@@ -11,9 +11,9 @@
   /**
    * A caller submits a job.
    *
-   * @param guarded whether the ledger guards the job, so that any domain may take it
+   * @param atMostOnce whether the ledger guards the job, so that any domain may take it
    */
-  record Submitted(long ticket, JobRequest request, boolean guarded) implements EntryEvent {}
+  record Submitted(long ticket, JobRequest request, boolean atMostOnce) implements EntryEvent {}
 
   /** A caller asks for the outcome of a submission. */
   record Followed(long ticket, SubmissionKey key, long waitMillis) implements EntryEvent {}
--- a/burdockbay-core/src/main/java/org/burdockbay/core/entry/EntryGateway.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/entry/EntryGateway.java
@@ -22,18 +22,18 @@
  */
 public final class EntryGateway {
 
-  private static final long NO_DISPATCHER_PATIENCE_MILLIS = 7_000;
-  private static final long LOST_DOMAIN_PATIENCE_MILLIS = 6_000;
-  private static final long SEND_AGAIN_MILLIS = 50;
+  private static final long NO_DISPATCHER_TIMEOUT_MILLIS = 7_000;
+  private static final long DOMAIN_LOSS_TIMEOUT_MILLIS = 6_000;
+  private static final long RESEND_INTERVAL_MILLIS = 50;
   private static final long DEADLINE_GRACE_MILLIS = 300;
   private static final long RETRY_AFTER_MILLIS = 1_000;
-  private static final int MOST_REDIRECTS = 8;
+  private static final int MAX_REDIRECTS = 8;
 
   /** A time that isn't reached, with room to add to it. */
   private static final long NEVER = Long.MAX_VALUE / 2;
 
   private final Map<PendingKey, PendingSubmission> pending = new HashMap<>();
-  private final Map<Long, PendingKey> byTicket = new HashMap<>();
+  private final Map<Long, PendingKey> keyByTicket = new HashMap<>();
   private List<EntryEffect> effects = new ArrayList<>();
   private RouteView routes;
   private long now;
@@ -49,21 +49,21 @@
     switch (event) {
       case EntryEvent.Submitted submitted -> submit(submitted);
       case EntryEvent.Followed followed ->
-          ask(
+          query(
               PendingSubmission.Purpose.FOLLOW,
               followed.ticket(),
               followed.key(),
               followed.waitMillis());
       case EntryEvent.Cancelled cancelled ->
-          ask(
+          query(
               PendingSubmission.Purpose.CANCEL,
               cancelled.ticket(),
               cancelled.key(),
               cancelled.waitMillis());
       case EntryEvent.Abandoned abandoned -> abandon(abandoned.ticket());
-      case EntryEvent.Reported reported -> reported(reported);
-      case EntryEvent.Redirected redirected -> redirected(redirected);
-      case EntryEvent.Returned returned -> returned(returned);
+      case EntryEvent.Reported reported -> outcomeReported(reported);
+      case EntryEvent.Redirected redirected -> jobRedirected(redirected);
+      case EntryEvent.Returned returned -> jobReturned(returned);
       case EntryEvent.PeerReset reset -> resend(reset.host());
       case EntryEvent.RoutesChanged changed -> routesChanged(changed.routes());
       case EntryEvent.Tick tick -> tick();
@@ -74,7 +74,7 @@
   }
 
   /** Returns the number of submissions for which callers wait. */
-  public int waiting() {
+  public int pendingCount() {
     return pending.size();
   }
 
@@ -82,7 +82,7 @@
     JobRequest request = event.request();
     // Other content under the same id is another entry: which of the two the id belongs to is for
     // the dispatcher and the ledger to say.
-    PendingKey pendingKey = PendingKey.submit(request.key(), request.digest());
+    PendingKey pendingKey = PendingKey.forSubmission(request.key(), request.digest());
     PendingSubmission known = pending.get(pendingKey);
     if (known != null) {
       addTicket(known, pendingKey, event.ticket(), now + request.remainingMillis());
@@ -93,7 +93,7 @@
             request.key(),
             PendingSubmission.Purpose.SUBMIT,
             request,
-            event.guarded(),
+            event.atMostOnce(),
             now,
             now + request.remainingMillis());
     pending.put(pendingKey, added);
@@ -101,15 +101,15 @@
     route(added);
   }
 
-  private void ask(
+  private void query(
       PendingSubmission.Purpose purpose, long ticket, SubmissionKey key, long waitMillis) {
-    PendingKey pendingKey = PendingKey.ask(key, purpose);
+    PendingKey pendingKey = PendingKey.forQuery(key, purpose);
     PendingSubmission known = pending.get(pendingKey);
     if (known == null) {
       known = new PendingSubmission(key, purpose, null, false, now, NEVER);
       // The submission may be known here; its dispatcher is then the one to ask.
       known.domain =
-          pendingOf(key).stream()
+          pendingFor(key).stream()
               .filter(other -> other.domain != null)
               .map(other -> other.domain)
               .findFirst()
@@ -124,11 +124,11 @@
 
   private void addTicket(PendingSubmission to, PendingKey key, long ticket, long until) {
     to.tickets.put(ticket, until);
-    byTicket.put(ticket, key);
+    keyByTicket.put(ticket, key);
   }
 
   private void abandon(long ticket) {
-    PendingKey key = byTicket.remove(ticket);
+    PendingKey key = keyByTicket.remove(ticket);
     PendingSubmission known = key == null ? null : pending.get(key);
     if (known != null) {
       known.tickets.remove(ticket);
@@ -144,14 +144,14 @@
    * <p>The same id may be in use with other content at another host. Matching by the key alone
    * would give one caller's request the answer to the other content.
    */
-  private void reported(EntryEvent.Reported event) {
-    complete(PendingKey.submit(event.key(), event.digest()), event.outcome());
+  private void outcomeReported(EntryEvent.Reported event) {
+    complete(PendingKey.forSubmission(event.key(), event.digest()), event.outcome());
     boolean otherContent =
         event.outcome() instanceof JobOutcome.Failed failed
             && failed.kind() == ErrorKind.KEY_REUSED;
     if (!otherContent) {
-      complete(PendingKey.ask(event.key(), PendingSubmission.Purpose.FOLLOW), event.outcome());
-      complete(PendingKey.ask(event.key(), PendingSubmission.Purpose.CANCEL), event.outcome());
+      complete(PendingKey.forQuery(event.key(), PendingSubmission.Purpose.FOLLOW), event.outcome());
+      complete(PendingKey.forQuery(event.key(), PendingSubmission.Purpose.CANCEL), event.outcome());
     }
   }
 
@@ -161,16 +161,16 @@
       return;
     }
     for (long ticket : done.tickets.keySet()) {
-      byTicket.remove(ticket);
+      keyByTicket.remove(ticket);
       answer(ticket, done.key, outcome);
     }
   }
 
-  private void redirected(EntryEvent.Redirected event) {
-    for (PendingSubmission known : pendingOf(event.key())) {
+  private void jobRedirected(EntryEvent.Redirected event) {
+    for (PendingSubmission known : pendingFor(event.key())) {
       known.redirects++;
-      if (known.redirects > MOST_REDIRECTS) {
-        known.sendAgainAt = now + RETRY_AFTER_MILLIS;
+      if (known.redirects > MAX_REDIRECTS) {
+        known.nextSendAt = now + RETRY_AFTER_MILLIS;
         continue;
       }
       known.domain = event.domain();
@@ -181,13 +181,13 @@
     }
   }
 
-  private void returned(EntryEvent.Returned event) {
-    for (PendingSubmission known : pendingOf(event.key())) {
+  private void jobReturned(EntryEvent.Returned event) {
+    for (PendingSubmission known : pendingFor(event.key())) {
       if (known.sentTo != null && known.sentTo.host().equals(event.host())) {
         known.arrival = Arrival.RESENT;
         known.sentTo = null;
         known.unroutedSince = now;
-        known.sendAgainAt = now + SEND_AGAIN_MILLIS;
+        known.nextSendAt = now + RESEND_INTERVAL_MILLIS;
       }
     }
   }
@@ -204,14 +204,14 @@
     routes = changed;
     for (PendingSubmission known : List.copyOf(pending.values())) {
       if (known.sentTo != null && known.domain != null) {
-        Optional<RouteView.Dispatching> current = routes.dispatcher(known.domain);
+        Optional<RouteView.ActiveDispatcher> current = routes.dispatcher(known.domain);
         if (current.isEmpty() || current.get().epoch() != known.sentTo.epoch()) {
           known.sentTo = null;
           known.arrival = Arrival.RESENT;
           known.unroutedSince = now;
         }
       }
-      if (known.sentTo == null && now >= known.sendAgainAt) {
+      if (known.sentTo == null && now >= known.nextSendAt) {
         route(known);
       }
     }
@@ -221,8 +221,8 @@
     for (PendingSubmission known : List.copyOf(pending.values())) {
       expireTickets(known);
       if (now >= known.deadlineAt + DEADLINE_GRACE_MILLIS) {
-        complete(PendingKey.of(known), overdue(known));
-      } else if (known.sentTo == null && now >= known.sendAgainAt) {
+        complete(PendingKey.of(known), deadlineOutcome(known));
+      } else if (known.sentTo == null && now >= known.nextSendAt) {
         route(known);
       }
     }
@@ -237,7 +237,7 @@
       Map.Entry<Long, Long> ticket = tickets.next();
       if (now >= ticket.getValue()) {
         tickets.remove();
-        byTicket.remove(ticket.getKey());
+        keyByTicket.remove(ticket.getKey());
         String detail = "the submission is not finished";
         answer(
             ticket.getKey(), known.key, failed(ErrorKind.UNAVAILABLE, detail, RETRY_AFTER_MILLIS));
@@ -253,50 +253,51 @@
     if (known.domain == null) {
       known.domain = chooseDomain(known).orElse(null);
     }
-    Optional<RouteView.Dispatching> target =
+    Optional<RouteView.ActiveDispatcher> target =
         known.domain == null ? Optional.empty() : routes.dispatcher(known.domain);
     if (target.isPresent()) {
       send(known, target.get());
       return;
     }
     long unrouted = now - known.unroutedSince;
-    if (unrouted >= LOST_DOMAIN_PATIENCE_MILLIS) {
+    if (unrouted >= DOMAIN_LOSS_TIMEOUT_MILLIS) {
       // The domain is cut off or lost. Its runners' leases to it have run out; for a guarded job
       // the ledger still says whether it may run anywhere else.
-      known.domain = HomeDomainResolver.home(known.key, routes.servedDomains()).orElse(null);
+      known.domain = HomeDomainResolver.resolve(known.key, routes.acceptingDomains()).orElse(null);
       if (known.domain != null) {
         route(known);
         return;
       }
     }
-    if (unrouted >= NO_DISPATCHER_PATIENCE_MILLIS && !known.everSent) {
-      complete(PendingKey.of(known), noDispatcher(known));
+    if (unrouted >= NO_DISPATCHER_TIMEOUT_MILLIS && !known.sent) {
+      complete(PendingKey.of(known), noDispatcherOutcome(known));
     }
   }
 
   private Optional<String> chooseDomain(PendingSubmission known) {
     boolean keyed = known.request == null || known.request.keyed();
-    boolean local = routes.servedDomains().contains(routes.domain());
-    if ((known.guarded || !keyed) && local) {
+    boolean local = routes.acceptingDomains().contains(routes.domain());
+    if ((known.atMostOnce || !keyed) && local) {
       return Optional.of(routes.domain());
     }
     return routes.settled()
-        ? HomeDomainResolver.home(known.key, routes.openDomains())
+        ? HomeDomainResolver.resolve(known.key, routes.openDomains())
         : Optional.empty();
   }
 
-  private void send(PendingSubmission known, RouteView.Dispatching target) {
+  private void send(PendingSubmission known, RouteView.ActiveDispatcher target) {
     known.sentTo = target;
-    known.everSent = true;
+    known.sent = true;
     effects.add(
         switch (known.purpose) {
-          case SUBMIT -> new EntryEffect.SendJob(target.host(), remaining(known), known.arrival);
+          case SUBMIT ->
+              new EntryEffect.SendJob(target.host(), withRemainingTime(known), known.arrival);
           case FOLLOW -> new EntryEffect.SendFollow(target.host(), known.key);
           case CANCEL -> new EntryEffect.SendCancel(target.host(), known.key);
         });
   }
 
-  private JobRequest remaining(PendingSubmission known) {
+  private JobRequest withRemainingTime(PendingSubmission known) {
     JobRequest request = known.request;
     if (request == null) {
       throw new IllegalStateException("submission " + known.key + " has no content to send");
@@ -310,22 +311,22 @@
         request.keyed());
   }
 
-  private static JobOutcome overdue(PendingSubmission known) {
-    if (known.everSent) {
+  private static JobOutcome deadlineOutcome(PendingSubmission known) {
+    if (known.sent) {
       String detail = "no outcome was known at the deadline";
       return failed(ErrorKind.DEADLINE_EXCEEDED, detail, 0);
     }
-    return noDispatcher(known);
+    return noDispatcherOutcome(known);
   }
 
-  private static JobOutcome noDispatcher(PendingSubmission known) {
+  private static JobOutcome noDispatcherOutcome(PendingSubmission known) {
     // A keyed submission may have reached another host before, so it can't be called not run.
     boolean keyed = known.request == null || known.request.keyed();
     ErrorKind kind = keyed ? ErrorKind.UNAVAILABLE : ErrorKind.NOT_RUN;
     return failed(kind, "no dispatcher can be reached", RETRY_AFTER_MILLIS);
   }
 
-  private List<PendingSubmission> pendingOf(SubmissionKey key) {
+  private List<PendingSubmission> pendingFor(SubmissionKey key) {
     return pending.values().stream().filter(known -> known.key.equals(key)).toList();
   }
 
@@ -339,11 +340,11 @@
 
   private record PendingKey(SubmissionKey key, PendingSubmission.Purpose purpose, String digest) {
 
-    static PendingKey submit(SubmissionKey key, String digest) {
+    static PendingKey forSubmission(SubmissionKey key, String digest) {
       return new PendingKey(key, PendingSubmission.Purpose.SUBMIT, digest);
     }
 
-    static PendingKey ask(SubmissionKey key, PendingSubmission.Purpose purpose) {
+    static PendingKey forQuery(SubmissionKey key, PendingSubmission.Purpose purpose) {
       return new PendingKey(key, purpose, "");
     }
 
--- a/burdockbay-core/src/main/java/org/burdockbay/core/entry/HomeDomainResolver.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/entry/HomeDomainResolver.java
@@ -18,7 +18,7 @@
 
   private HomeDomainResolver() {}
 
-  static Optional<String> home(SubmissionKey key, Set<String> domains) {
+  static Optional<String> resolve(SubmissionKey key, Set<String> domains) {
     return domains.stream().max(Comparator.comparingLong((String domain) -> score(key, domain)));
   }
 
--- a/burdockbay-core/src/main/java/org/burdockbay/core/entry/PendingSubmission.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/entry/PendingSubmission.java
@@ -21,7 +21,7 @@
   final SubmissionKey key;
   final Purpose purpose;
   final @Nullable JobRequest request;
-  final boolean guarded;
+  final boolean atMostOnce;
 
   /** Waiting requests with the time until which each waits. */
   final Map<Long, Long> tickets = new LinkedHashMap<>();
@@ -30,11 +30,11 @@
   final long deadlineAt;
   Arrival arrival = Arrival.FIRST;
   @Nullable String domain;
-  RouteView.@Nullable Dispatching sentTo;
+  RouteView.@Nullable ActiveDispatcher sentTo;
   long unroutedSince;
-  long sendAgainAt;
+  long nextSendAt;
   int redirects;
-  boolean everSent;
+  boolean sent;
 
   PendingSubmission(
       SubmissionKey key,
@@ -46,7 +46,7 @@
     this.key = key;
     this.purpose = purpose;
     this.request = request;
-    this.guarded = guarded;
+    this.atMostOnce = guarded;
     this.arrivedAt = arrivedAt;
     this.deadlineAt = deadlineAt;
     this.unroutedSince = arrivedAt;
--- a/burdockbay-core/src/main/java/org/burdockbay/core/fleet/UpstreamNotice.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/fleet/UpstreamAnnouncement.java
@@ -7,7 +7,7 @@
  * What an upstream says of itself.
  *
  * @param id its id; a restarted upstream may carry the id that it had before
- * @param bornMillis the time of its start, in milliseconds since 1970; tells its lives apart
+ * @param startedAt the time of its start, in milliseconds since 1970; tells its lives apart
  * @param sequence rises with each announcement of one life
  * @param service the service whose tasks it runs
  * @param address IP address and port of its interface
@@ -16,9 +16,9 @@
  * @param capacity what all its tasks together may ask for
  * @param labels its labels; the rack is one of them
  */
-public record UpstreamNotice(
+public record UpstreamAnnouncement(
     String id,
-    long bornMillis,
+    long startedAt,
     long sequence,
     String service,
     String address,
@@ -28,28 +28,28 @@
     Set<String> labels) {
 
   /** Copies the set. */
-  public UpstreamNotice {
+  public UpstreamAnnouncement {
     labels = Set.copyOf(labels);
   }
 
   /** Returns whether this announcement is newer than another one of the same upstream. */
-  public boolean supersedes(UpstreamNotice other) {
-    return bornMillis > other.bornMillis
-        || (bornMillis == other.bornMillis && sequence > other.sequence);
+  public boolean isNewerThan(UpstreamAnnouncement other) {
+    return startedAt > other.startedAt
+        || (startedAt == other.startedAt && sequence > other.sequence);
   }
 
   /** Returns whether both come from the same life of the upstream. */
-  public boolean sameLife(UpstreamNotice other) {
-    return id.equals(other.id) && bornMillis == other.bornMillis;
+  public boolean isSameInstance(UpstreamAnnouncement other) {
+    return id.equals(other.id) && startedAt == other.startedAt;
   }
 
   /** Returns whether this announcement says the same as another one, but for its sequence. */
-  public boolean repeats(UpstreamNotice other) {
+  public boolean hasSameContent(UpstreamAnnouncement other) {
     return equals(other.withSequence(sequence));
   }
 
-  private UpstreamNotice withSequence(long number) {
-    return new UpstreamNotice(
-        id, bornMillis, number, service, address, domain, leaving, capacity, labels);
+  private UpstreamAnnouncement withSequence(long number) {
+    return new UpstreamAnnouncement(
+        id, startedAt, number, service, address, domain, leaving, capacity, labels);
   }
 }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/fleet/UpstreamRegistry.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/fleet/UpstreamRegistry.java
@@ -17,9 +17,9 @@
 public final class UpstreamRegistry {
 
   /** How long a departure is remembered, in milliseconds; announcements are held up for seconds. */
-  public static final long DEPARTURE_MILLIS = 30_000;
+  public static final long DEPARTURE_RETENTION_MILLIS = 30_000;
 
-  private final long silenceMillis;
+  private final long silenceTimeoutMillis;
   private final Map<String, Entry> entries = new HashMap<>();
   private final Map<String, Departure> departures = new HashMap<>();
 
@@ -29,7 +29,7 @@
    * @param silenceMillis silence after which an upstream is dropped, in milliseconds
    */
   public UpstreamRegistry(long silenceMillis) {
-    this.silenceMillis = silenceMillis;
+    this.silenceTimeoutMillis = silenceMillis;
   }
 
   /**
@@ -38,13 +38,13 @@
    * @param ageMillis how long ago it was made, as far as known
    * @return whether it was newer than what was known
    */
-  public boolean announced(UpstreamNotice notice, long ageMillis, long now) {
+  public boolean recordAnnouncement(UpstreamAnnouncement notice, long ageMillis, long now) {
     Departure departure = departures.get(notice.id());
-    if (departure != null && notice.bornMillis() <= departure.bornMillis) {
+    if (departure != null && notice.startedAt() <= departure.startedAt) {
       return false;
     }
     Entry known = entries.get(notice.id());
-    if (known != null && !notice.supersedes(known.notice)) {
+    if (known != null && !notice.isNewerThan(known.announcement)) {
       return false;
     }
     entries.put(notice.id(), new Entry(notice, now - ageMillis));
@@ -52,26 +52,28 @@
   }
 
   /** Notes that an upstream has left; returns its last announcement, if it was known. */
-  public Optional<UpstreamNotice> departed(String id, long now) {
+  public Optional<UpstreamAnnouncement> recordDeparture(String id, long now) {
     Entry known = entries.remove(id);
     if (known == null) {
       return Optional.empty();
     }
-    departures.put(id, new Departure(known.notice.bornMillis(), now));
-    return Optional.of(known.notice);
+    departures.put(id, new Departure(known.announcement.startedAt(), now));
+    return Optional.of(known.announcement);
   }
 
   /** Drops upstreams that went silent and returns them. */
-  public List<UpstreamNotice> expire(long now) {
-    departures.values().removeIf(departure -> now - departure.at > DEPARTURE_MILLIS);
-    List<UpstreamNotice> lost = new ArrayList<>();
+  public List<UpstreamAnnouncement> expireSilentUpstreams(long now) {
+    departures
+        .values()
+        .removeIf(departure -> now - departure.departedAt > DEPARTURE_RETENTION_MILLIS);
+    List<UpstreamAnnouncement> lost = new ArrayList<>();
     entries
         .values()
         .removeIf(
             entry -> {
-              boolean silent = now - entry.at > silenceMillis;
+              boolean silent = now - entry.announcedAt > silenceTimeoutMillis;
               if (silent) {
-                lost.add(entry.notice);
+                lost.add(entry.announcement);
               }
               return silent;
             });
@@ -79,22 +81,22 @@
   }
 
   /** Returns the newest announcement of an upstream, if it is known. */
-  public Optional<UpstreamNotice> notice(String id) {
-    return Optional.ofNullable(entries.get(id)).map(entry -> entry.notice);
+  public Optional<UpstreamAnnouncement> announcement(String id) {
+    return Optional.ofNullable(entries.get(id)).map(entry -> entry.announcement);
   }
 
   /** Returns all that are known. */
-  public Collection<UpstreamNotice> notices() {
-    return entries.values().stream().map(entry -> entry.notice).toList();
+  public Collection<UpstreamAnnouncement> announcements() {
+    return entries.values().stream().map(entry -> entry.announcement).toList();
   }
 
   /** Returns how long ago the newest announcement was made, in milliseconds. */
-  public long ageMillis(UpstreamNotice notice, long now) {
+  public long ageMillis(UpstreamAnnouncement notice, long now) {
     Entry known = entries.get(notice.id());
-    return known == null ? 0 : now - known.at;
+    return known == null ? 0 : now - known.announcedAt;
   }
 
-  private record Entry(UpstreamNotice notice, long at) {}
+  private record Entry(UpstreamAnnouncement announcement, long announcedAt) {}
 
-  private record Departure(long bornMillis, long at) {}
+  private record Departure(long startedAt, long departedAt) {}
 }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/intake/IntakeEffect.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/intake/IntakeEffect.java
@@ -8,7 +8,11 @@
 
   /** Submits work to a dispatcher. */
   record Submit(
-      IntakeEvent.Dispatcher to, long ticket, WorkRequest request, long ageMillis, long quietMillis)
+      IntakeEvent.Dispatcher to,
+      long ticket,
+      WorkRequest request,
+      long ageMillis,
+      long quietPeriodMillis)
       implements IntakeEffect {}
 
   /** Tells a dispatcher that the caller has left. */
@@ -19,5 +23,5 @@
       implements IntakeEffect {}
 
   /** A decision for the log; {@code fields} are key=value pairs. */
-  record Note(String event, String fields) implements IntakeEffect {}
+  record LogEvent(String event, String fields) implements IntakeEffect {}
 }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/intake/IntakeEvent.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/intake/IntakeEvent.java
@@ -10,17 +10,17 @@
 public sealed interface IntakeEvent {
 
   /** A caller submits work; {@code ticket} names its connection. */
-  record Opened(long ticket, WorkRequest request) implements IntakeEvent {}
+  record RequestReceived(long ticket, WorkRequest request) implements IntakeEvent {}
 
   /** A caller has closed its connection. */
-  record Left(long ticket) implements IntakeEvent {}
+  record CallerDisconnected(long ticket) implements IntakeEvent {}
 
   /**
    * A dispatcher tells an outcome.
    *
    * @param from the dispatcher's host
    */
-  record Reported(String from, String workId, WorkOutcome outcome) implements IntakeEvent {}
+  record OutcomeReported(String from, String workId, WorkOutcome outcome) implements IntakeEvent {}
 
   /**
    * Who dispatches has changed.
@@ -36,13 +36,13 @@
   }
 
   /** A host has told how much room the upstreams of its shard have. */
-  record LoadTold(String host, DomainLoad load) implements IntakeEvent {}
+  record LoadReported(String host, DomainLoad load) implements IntakeEvent {}
 
   /** The connection to a host is new, so messages on the earlier one may be lost. */
-  record PeerReset(String host) implements IntakeEvent {}
+  record PeerReconnected(String host) implements IntakeEvent {}
 
   /** A message of a host arrived, which may dispatch. */
-  record DispatcherHeard(String host) implements IntakeEvent {}
+  record DispatcherMessageReceived(String host) implements IntakeEvent {}
 
   /** Time passes. */
   record Tick() implements IntakeEvent {}
--- a/burdockbay-core/src/main/java/org/burdockbay/core/intake/PendingWork.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/intake/PendingWork.java
@@ -26,13 +26,13 @@
   final Set<String> refusedBy = new HashSet<>();
 
   /** When the dispatcher that has it was heard last, in milliseconds. */
-  long heardAt;
+  long lastContactAt;
 
   /** When it was submitted last, by any of its callers, in milliseconds. */
-  long submittedAt;
+  long lastSubmittedAt;
 
   /** Until when runs that an earlier dispatcher started may go on, in milliseconds. */
-  long quietUntil;
+  long quietPeriodEndsAt;
 
   /** Whether a dispatcher that gave no answer had it. */
   boolean mayHaveRun;
@@ -50,7 +50,7 @@
     final long ticket;
     final WorkRequest request;
     final long arrivedAt;
-    long submittedAt;
+    long lastSubmittedAt;
 
     Caller(long ticket, WorkRequest request, long arrivedAt) {
       this.ticket = ticket;
--- a/burdockbay-core/src/main/java/org/burdockbay/core/intake/ShardChoice.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/intake/ShardSelector.java
@@ -17,12 +17,12 @@
  * <p>The better one of a few that a hash of the work names: what hosts tell of their room is old by
  * a heartbeat, and if all entry hosts took the emptiest shard they would fill it at once.
  */
-final class ShardChoice {
+final class ShardSelector {
 
   /** So many shards are compared for one piece of work. */
-  private static final int CANDIDATES = 2;
+  private static final int MAX_CANDIDATES = 2;
 
-  private static final int MILLICORES = 1_000;
+  private static final int MILLICORES_PER_CORE = 1_000;
 
   private final String ownDomain;
   private final Map<String, DomainLoad> loads = new HashMap<>();
@@ -34,27 +34,27 @@
    *
    * @param ownDomain the failure domain whose shards go first while they have room
    */
-  ShardChoice(String ownDomain) {
+  ShardSelector(String ownDomain) {
     this.ownDomain = ownDomain;
   }
 
   /** Takes note of who dispatches; what others told of their room is forgotten. */
-  void dispatchersChanged(Map<ShardId, IntakeEvent.Dispatcher> changed) {
+  void updateDispatchers(Map<ShardId, IntakeEvent.Dispatcher> changed) {
     dispatchers = changed;
     shards = ShardMap.of(changed.keySet());
     loads.keySet().retainAll(changed.values().stream().map(IntakeEvent.Dispatcher::host).toList());
   }
 
   /** Takes note of how much room a host's shard has. */
-  void loadTold(String host, DomainLoad load) {
+  void updateLoad(String host, DomainLoad load) {
     if (dispatchers.values().stream().anyMatch(dispatcher -> dispatcher.host().equals(host))) {
       loads.put(host, load);
     }
   }
 
   /** Returns the shard for new work; empty while there is no dispatcher. */
-  Optional<ShardId> first(WorkRequest request) {
-    return best(request, shards.preference(request.id()));
+  Optional<ShardId> select(WorkRequest request) {
+    return selectBest(request, shards.preferenceOrder(request.id()));
   }
 
   /**
@@ -62,34 +62,34 @@
    *
    * @param refusedBy the hosts that were asked already
    */
-  Optional<ShardId> next(WorkRequest request, Set<String> refusedBy) {
+  Optional<ShardId> selectAlternative(WorkRequest request, Set<String> refusedBy) {
     List<ShardId> roomy =
-        shards.preference(request.id()).stream()
+        shards.preferenceOrder(request.id()).stream()
             .filter(shard -> !refusedBy.contains(dispatchers.get(shard).host()))
-            .filter(shard -> freeCores(shard) >= cores(request))
+            .filter(shard -> freeCores(shard) >= requiredCores(request))
             .toList();
-    return best(request, roomy);
+    return selectBest(request, roomy);
   }
 
-  private Optional<ShardId> best(WorkRequest request, List<ShardId> preferred) {
+  private Optional<ShardId> selectBest(WorkRequest request, List<ShardId> preferred) {
     ShardId best = null;
-    for (ShardId shard : preferred.subList(0, Math.min(CANDIDATES, preferred.size()))) {
-      if (best == null || better(shard, best, cores(request))) {
+    for (ShardId shard : preferred.subList(0, Math.min(MAX_CANDIDATES, preferred.size()))) {
+      if (best == null || isBetter(shard, best, requiredCores(request))) {
         best = shard;
       }
     }
     return Optional.ofNullable(best);
   }
 
-  private boolean better(ShardId shard, ShardId best, int cores) {
+  private boolean isBetter(ShardId shard, ShardId best, int cores) {
     boolean bothHaveRoom = freeCores(shard) >= cores && freeCores(best) >= cores;
-    if (bothHaveRoom && near(shard) != near(best)) {
-      return near(shard);
+    if (bothHaveRoom && isInOwnDomain(shard) != isInOwnDomain(best)) {
+      return isInOwnDomain(shard);
     }
     return freeCores(shard) > freeCores(best);
   }
 
-  private boolean near(ShardId shard) {
+  private boolean isInOwnDomain(ShardId shard) {
     return shard.domain().equals(ownDomain);
   }
 
@@ -100,13 +100,13 @@
   }
 
   /** Returns the cores that the tasks take which can start at once; at least 1. */
-  private static int cores(WorkRequest request) {
+  private static int requiredCores(WorkRequest request) {
     long millicores = 0;
     for (WorkStep step : request.steps()) {
-      if (step.after().isEmpty()) {
-        millicores += (long) step.tasks() * step.size().cpuMillicores();
+      if (step.predecessors().isEmpty()) {
+        millicores += (long) step.taskCount() * step.size().cpuMillicores();
       }
     }
-    return Math.clamp(Math.ceilDiv(millicores, MILLICORES), 1, Integer.MAX_VALUE);
+    return Math.clamp(Math.ceilDiv(millicores, MILLICORES_PER_CORE), 1, Integer.MAX_VALUE);
   }
 }
