--- a/burdockbay-core/src/main/java/org/burdockbay/core/intake/WorkIntake.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/intake/WorkIntake.java
@@ -22,40 +22,40 @@
 public final class WorkIntake {
 
   /** Work without an outcome is submitted again after this, in milliseconds; messages get lost. */
-  private static final long AGAIN_MILLIS = 400;
+  private static final long SUBMISSION_RETRY_INTERVAL_MILLIS = 400;
 
   /** When a caller may come back if no dispatcher was found in time, in milliseconds. */
-  private static final long RETRY_MILLIS = 1_000;
+  private static final long RETRY_AFTER_MILLIS = 1_000;
 
   /** Longest wait for a dispatcher, in milliseconds: an election and a few heartbeats. */
-  private static final long NO_DISPATCHER_MILLIS = 1_000;
+  private static final long DISPATCHER_TIMEOUT_MILLIS = 1_000;
 
   /** Longest wait for the dispatcher of one shard while others have one, in milliseconds. */
-  private static final long NO_SUCCESSOR_MILLIS = NO_DISPATCHER_MILLIS / 2;
+  private static final long SUCCESSOR_TIMEOUT_MILLIS = DISPATCHER_TIMEOUT_MILLIS / 2;
 
   /** Work is offered to so many further shards at most after it was refused. */
-  private static final int MOST_SPILLS = 2;
+  private static final int MAX_SPILLS = 2;
 
   /**
    * How long cancellations and what is known of answered work are kept, in milliseconds: longer
    * than a caller whose connection broke takes to come again.
    */
-  private static final long KEPT_MILLIS = 1_500;
+  private static final long RETENTION_MILLIS = 1_500;
 
   /**
    * A dispatcher that isn't heard for longer is replaced, unless this host stood still; in
    * milliseconds. The time after which a host counts as lost, and a few ticks.
    */
-  private static final long LONGEST_UNHEARD_MILLIS = 600;
+  private static final long MAX_DISPATCHER_SILENCE_MILLIS = 600;
 
   private final String self;
-  private final long runsOnMillis;
-  private final ShardChoice choice;
-  private final Map<Long, PendingWork> byTicket = new LinkedHashMap<>();
-  private final Map<String, PendingWork> byWork = new LinkedHashMap<>();
-  private final Map<String, Long> heardAt = new HashMap<>();
-  private final Map<ShardId, Long> withoutSince = new HashMap<>();
-  private final Map<IntakeEffect.Cancel, Long> cancels = new LinkedHashMap<>();
+  private final long maxOrphanedRunMillis;
+  private final ShardSelector shardSelector;
+  private final Map<Long, PendingWork> workByTicket = new LinkedHashMap<>();
+  private final Map<String, PendingWork> workById = new LinkedHashMap<>();
+  private final Map<String, Long> lastContactAt = new HashMap<>();
+  private final Map<ShardId, Long> withoutDispatcherSince = new HashMap<>();
+  private final Map<IntakeEffect.Cancel, Long> cancellations = new LinkedHashMap<>();
   private Map<ShardId, IntakeEvent.Dispatcher> dispatchers = Map.of();
   private List<IntakeEffect> effects = new ArrayList<>();
   private long now;
@@ -70,21 +70,21 @@
    */
   public WorkIntake(String self, String domain, long runsOnMillis) {
     this.self = self;
-    this.runsOnMillis = runsOnMillis;
-    this.choice = new ShardChoice(domain);
+    this.maxOrphanedRunMillis = runsOnMillis;
+    this.shardSelector = new ShardSelector(domain);
   }
 
   /** Handles an event and returns what is to be done. */
   public List<IntakeEffect> handle(IntakeEvent event, long time) {
     now = Math.max(now, time);
     switch (event) {
-      case IntakeEvent.Opened opened -> opened(opened);
-      case IntakeEvent.Left left -> left(left.ticket());
-      case IntakeEvent.Reported reported -> reported(reported);
-      case IntakeEvent.DispatchersChanged changed -> dispatchersChanged(changed.dispatchers());
-      case IntakeEvent.LoadTold told -> choice.loadTold(told.host(), told.load());
-      case IntakeEvent.DispatcherHeard heard -> heard(heard.host());
-      case IntakeEvent.PeerReset reset -> reset(reset.host());
+      case IntakeEvent.RequestReceived opened -> acceptRequest(opened);
+      case IntakeEvent.CallerDisconnected left -> handleDisconnect(left.ticket());
+      case IntakeEvent.OutcomeReported reported -> handleOutcome(reported);
+      case IntakeEvent.DispatchersChanged changed -> updateDispatchers(changed.dispatchers());
+      case IntakeEvent.LoadReported told -> shardSelector.updateLoad(told.host(), told.load());
+      case IntakeEvent.DispatcherMessageReceived heard -> recordContact(heard.host());
+      case IntakeEvent.PeerReconnected reset -> resendAfterReconnect(reset.host());
       case IntakeEvent.Tick tick -> tick();
     }
     List<IntakeEffect> taken = effects;
@@ -93,35 +93,35 @@
   }
 
   /** Returns the number of callers that wait. */
-  public int waiting() {
-    return byTicket.size();
+  public int waitingCallers() {
+    return workByTicket.size();
   }
 
-  private void opened(IntakeEvent.Opened opened) {
-    PendingWork work = byWork.computeIfAbsent(opened.request().id(), PendingWork::new);
+  private void acceptRequest(IntakeEvent.RequestReceived opened) {
+    PendingWork work = workById.computeIfAbsent(opened.request().id(), PendingWork::new);
     PendingWork.Caller caller = new PendingWork.Caller(opened.ticket(), opened.request(), now);
     if (work.callers.isEmpty()) {
       work.refusedBy.clear();
     }
     work.callers.put(opened.ticket(), caller);
-    byTicket.put(opened.ticket(), work);
+    workByTicket.put(opened.ticket(), work);
     submit(work, caller);
   }
 
-  private void left(long ticket) {
-    PendingWork work = byTicket.get(ticket);
+  private void handleDisconnect(long ticket) {
+    PendingWork work = workByTicket.get(ticket);
     if (work == null) {
       return;
     }
-    note("caller-left", work, work.callers.get(ticket), "");
-    remove(work, ticket);
+    logEvent("caller-left", work, work.callers.get(ticket), "");
+    removeCaller(work, ticket);
     if (work.callers.isEmpty()) {
       cancel(work);
     }
   }
 
-  private void reported(IntakeEvent.Reported reported) {
-    PendingWork work = byWork.get(reported.workId());
+  private void handleOutcome(IntakeEvent.OutcomeReported reported) {
+    PendingWork work = workById.get(reported.workId());
     if (work == null || work.callers.isEmpty()) {
       return;
     }
@@ -131,17 +131,17 @@
             .filter(reported.from()::equals)
             .isPresent();
     switch (reported.outcome()) {
-      case WorkOutcome.NotRun notRun when askedLast -> refused(work, notRun);
+      case WorkOutcome.NotRun notRun when askedLast -> handleRefusal(work, notRun);
       case WorkOutcome.GivenUp givenUp when askedLast -> answerAll(work, givenUp);
-      case WorkOutcome.Completed completed -> decided(work, completed, askedLast);
-      case WorkOutcome.Failed failed -> decided(work, failed, askedLast);
-      case WorkOutcome.NotRun late -> noteLate(work, reported.from());
-      case WorkOutcome.GivenUp late -> noteLate(work, reported.from());
+      case WorkOutcome.Completed completed -> acceptFinalOutcome(work, completed, askedLast);
+      case WorkOutcome.Failed failed -> acceptFinalOutcome(work, failed, askedLast);
+      case WorkOutcome.NotRun late -> logOutdatedReport(work, reported.from());
+      case WorkOutcome.GivenUp late -> logOutdatedReport(work, reported.from());
     }
   }
 
   /** Takes an outcome that holds whichever dispatcher tells it. */
-  private void decided(PendingWork work, WorkOutcome outcome, boolean askedLast) {
+  private void acceptFinalOutcome(PendingWork work, WorkOutcome outcome, boolean askedLast) {
     if (!askedLast) {
       cancel(work);
     }
@@ -149,50 +149,50 @@
   }
 
   /** What an earlier dispatcher doesn't run may run under the one that has the work now. */
-  private void noteLate(PendingWork work, String from) {
-    note("report-outdated", work, work.callers.values().iterator().next(), " from=" + from);
+  private void logOutdatedReport(PendingWork work, String from) {
+    logEvent("report-outdated", work, work.callers.values().iterator().next(), " from=" + from);
   }
 
   /** Offers refused work to another shard; the caller is refused once none is left. */
-  private void refused(PendingWork work, WorkOutcome.NotRun notRun) {
+  private void handleRefusal(PendingWork work, WorkOutcome.NotRun notRun) {
     PendingWork.Caller first = work.callers.values().iterator().next();
     work.submittedTo.map(IntakeEvent.Dispatcher::host).ifPresent(work.refusedBy::add);
     Optional<ShardId> next =
-        work.refusedBy.size() <= MOST_SPILLS
-            ? choice.next(first.request, work.refusedBy)
+        work.refusedBy.size() <= MAX_SPILLS
+            ? shardSelector.selectAlternative(first.request, work.refusedBy)
             : Optional.empty();
     if (next.isEmpty()) {
-      answerAll(work, truthful(work, notRun));
+      answerAll(work, refusalOutcome(work, notRun));
       return;
     }
-    note("work-spilled", work, first, " to=" + next.get());
+    logEvent("work-spilled", work, first, " to=" + next.get());
     work.submittedTo = Optional.empty();
     work.shard = next;
     submitAll(work);
   }
 
   /** Claims that nothing has run only where no earlier dispatcher may have run something. */
-  private static WorkOutcome truthful(PendingWork work, WorkOutcome.NotRun notRun) {
+  private static WorkOutcome refusalOutcome(PendingWork work, WorkOutcome.NotRun notRun) {
     return work.mayHaveRun ? new WorkOutcome.GivenUp(notRun.reason()) : notRun;
   }
 
-  private void dispatchersChanged(Map<ShardId, IntakeEvent.Dispatcher> changed) {
+  private void updateDispatchers(Map<ShardId, IntakeEvent.Dispatcher> changed) {
     if (changed.equals(dispatchers)) {
       return;
     }
-    noteHeard();
+    updateLastContacts();
     Set<IntakeEvent.Dispatcher> appeared = new HashSet<>(changed.values());
     appeared.removeAll(dispatchers.values());
-    appeared.forEach(dispatcher -> heardAt.put(dispatcher.host(), now));
-    dispatchers.keySet().forEach(shard -> withoutSince.putIfAbsent(shard, now));
-    withoutSince.keySet().removeAll(changed.keySet());
+    appeared.forEach(dispatcher -> lastContactAt.put(dispatcher.host(), now));
+    dispatchers.keySet().forEach(shard -> withoutDispatcherSince.putIfAbsent(shard, now));
+    withoutDispatcherSince.keySet().removeAll(changed.keySet());
     dispatchers = changed;
-    choice.dispatchersChanged(changed);
-    byWork.values().stream().filter(this::newlyRouted).forEach(this::submitAll);
+    shardSelector.updateDispatchers(changed);
+    workById.values().stream().filter(this::needsResubmission).forEach(this::submitAll);
   }
 
   /** Returns whether the dispatcher that is to have the work isn't the one that has it. */
-  private boolean newlyRouted(PendingWork work) {
+  private boolean needsResubmission(PendingWork work) {
     return work.shard.isEmpty() || !work.submittedTo.equals(dispatcherOf(work));
   }
 
@@ -200,29 +200,30 @@
     return work.shard.map(dispatchers::get);
   }
 
-  private void heard(String host) {
-    heardAt.put(host, now);
+  private void recordContact(String host) {
+    lastContactAt.put(host, now);
   }
 
   /**
    * Notes when each dispatcher was heard last for the work that it has; this host hears itself all
    * the time.
    */
-  private void noteHeard() {
-    heardAt.put(self, now);
-    for (PendingWork work : byWork.values()) {
+  private void updateLastContacts() {
+    lastContactAt.put(self, now);
+    for (PendingWork work : workById.values()) {
       if (work.submittedTo.isPresent() && work.submittedTo.equals(dispatcherOf(work))) {
-        work.heardAt = heardAt.getOrDefault(work.submittedTo.get().host(), work.heardAt);
+        work.lastContactAt =
+            lastContactAt.getOrDefault(work.submittedTo.get().host(), work.lastContactAt);
       }
     }
   }
 
   /** Repeats what the earlier connection to a host may have lost. */
-  private void reset(String host) {
-    cancels.keySet().stream()
+  private void resendAfterReconnect(String host) {
+    cancellations.keySet().stream()
         .filter(cancel -> cancel.to().host().equals(host))
         .forEach(effects::add);
-    byWork.values().stream()
+    workById.values().stream()
         .filter(work -> dispatcherOf(work).filter(it -> it.host().equals(host)).isPresent())
         .forEach(this::submitAll);
   }
@@ -232,19 +233,19 @@
   }
 
   private void submit(PendingWork work, PendingWork.Caller caller) {
-    if (work.shard.isEmpty() || withoutDispatcherForLong(work)) {
-      work.shard = choice.first(caller.request).or(() -> work.shard);
+    if (work.shard.isEmpty() || mayLeaveShard(work)) {
+      work.shard = shardSelector.select(caller.request).or(() -> work.shard);
     }
     dispatcherOf(work).ifPresent(target -> submitTo(target, work, caller));
   }
 
-  private boolean withoutDispatcherForLong(PendingWork work) {
-    Long since = work.shard.map(withoutSince::get).orElse(null);
-    return since != null && (now - since >= NO_SUCCESSOR_MILLIS || ofOtherLayout(work));
+  private boolean mayLeaveShard(PendingWork work) {
+    Long since = work.shard.map(withoutDispatcherSince::get).orElse(null);
+    return since != null && (now - since >= SUCCESSOR_TIMEOUT_MILLIS || hasLayoutChanged(work));
   }
 
   /** Returns whether the fleet was divided, or united, since the work got its shard. */
-  private boolean ofOtherLayout(PendingWork work) {
+  private boolean hasLayoutChanged(PendingWork work) {
     return work.shard.filter(ShardId.WHOLE_FLEET::equals).isPresent()
         || dispatchers.containsKey(ShardId.WHOLE_FLEET);
   }
@@ -252,27 +253,28 @@
   private void submitTo(
       IntakeEvent.Dispatcher target, PendingWork work, PendingWork.Caller caller) {
     if (work.submittedTo.isPresent() && !work.submittedTo.get().equals(target)) {
-      move(work, caller, target);
+      moveTo(work, caller, target);
     }
     work.submittedTo = Optional.of(target);
-    cancels.remove(new IntakeEffect.Cancel(target, work.id));
-    work.submittedAt = now;
-    caller.submittedAt = now;
+    cancellations.remove(new IntakeEffect.Cancel(target, work.id));
+    work.lastSubmittedAt = now;
+    caller.lastSubmittedAt = now;
     effects.add(
         new IntakeEffect.Submit(
             target,
             caller.ticket,
             caller.request,
             now - caller.arrivedAt,
-            Math.max(0, work.quietUntil - now)));
+            Math.max(0, work.quietPeriodEndsAt - now)));
   }
 
-  private void move(PendingWork work, PendingWork.Caller caller, IntakeEvent.Dispatcher target) {
-    work.quietUntil = Math.max(work.quietUntil, heldSince(work) + runsOnMillis);
+  private void moveTo(PendingWork work, PendingWork.Caller caller, IntakeEvent.Dispatcher target) {
+    work.quietPeriodEndsAt =
+        Math.max(work.quietPeriodEndsAt, orphanedSince(work) + maxOrphanedRunMillis);
     work.mayHaveRun = true;
     // In a cut of one direction the earlier dispatcher may hear this host and go on.
     cancel(work);
-    note("work-moved", work, caller, " to=" + target.host() + " token=" + target.token());
+    logEvent("work-moved", work, caller, " to=" + target.host() + " token=" + target.token());
   }
 
   /**
@@ -285,7 +287,7 @@
     work.submittedTo.ifPresent(
         to -> {
           IntakeEffect.Cancel cancel = new IntakeEffect.Cancel(to, work.id);
-          cancels.put(cancel, now);
+          cancellations.put(cancel, now);
           effects.add(cancel);
         });
   }
@@ -297,27 +299,29 @@
    * <p>Usually that is when it was heard last. A host that stood still submits, before it learns
    * what has changed, to a dispatcher that it hasn't heard for long and that may be alive.
    */
-  private static long heldSince(PendingWork work) {
-    boolean longUnheard = work.submittedAt - work.heardAt > LONGEST_UNHEARD_MILLIS;
-    return longUnheard ? work.submittedAt : work.heardAt;
+  private static long orphanedSince(PendingWork work) {
+    boolean longUnheard = work.lastSubmittedAt - work.lastContactAt > MAX_DISPATCHER_SILENCE_MILLIS;
+    return longUnheard ? work.lastSubmittedAt : work.lastContactAt;
   }
 
   private void tick() {
-    noteHeard();
-    cancels.values().removeIf(at -> now - at > KEPT_MILLIS);
-    byWork.values().removeIf(work -> work.callers.isEmpty() && now - work.idleSince > KEPT_MILLIS);
-    for (PendingWork work : List.copyOf(byWork.values())) {
-      List.copyOf(work.callers.values()).forEach(caller -> attend(work, caller));
+    updateLastContacts();
+    cancellations.values().removeIf(at -> now - at > RETENTION_MILLIS);
+    workById
+        .values()
+        .removeIf(work -> work.callers.isEmpty() && now - work.idleSince > RETENTION_MILLIS);
+    for (PendingWork work : List.copyOf(workById.values())) {
+      List.copyOf(work.callers.values()).forEach(caller -> checkTimeouts(work, caller));
     }
   }
 
-  private void attend(PendingWork work, PendingWork.Caller caller) {
+  private void checkTimeouts(PendingWork work, PendingWork.Caller caller) {
     long age = now - caller.arrivedAt;
     if (age >= caller.request.budgetMillis()) {
       giveUp(work, caller, "no outcome in time");
-    } else if (dispatchers.isEmpty() && age >= NO_DISPATCHER_MILLIS) {
+    } else if (dispatchers.isEmpty() && age >= DISPATCHER_TIMEOUT_MILLIS) {
       giveUp(work, caller, "no dispatcher");
-    } else if (now - caller.submittedAt >= AGAIN_MILLIS) {
+    } else if (now - caller.lastSubmittedAt >= SUBMISSION_RETRY_INTERVAL_MILLIS) {
       submit(work, caller);
     }
   }
@@ -327,7 +331,9 @@
     answer(
         work,
         caller,
-        neverLeft ? new WorkOutcome.NotRun(reason, RETRY_MILLIS) : new WorkOutcome.GivenUp(reason));
+        neverLeft
+            ? new WorkOutcome.NotRun(reason, RETRY_AFTER_MILLIS)
+            : new WorkOutcome.GivenUp(reason));
     if (work.callers.isEmpty()) {
       cancel(work);
     }
@@ -336,25 +342,25 @@
   private void answerAll(PendingWork work, WorkOutcome outcome) {
     List.copyOf(work.callers.values()).forEach(caller -> answer(work, caller, outcome));
     if (outcome instanceof WorkOutcome.NotRun) {
-      byWork.remove(work.id);
+      workById.remove(work.id);
     }
   }
 
   private void answer(PendingWork work, PendingWork.Caller caller, WorkOutcome outcome) {
-    remove(work, caller.ticket);
+    removeCaller(work, caller.ticket);
     effects.add(
         new IntakeEffect.Answer(caller.ticket, caller.request, now - caller.arrivedAt, outcome));
   }
 
-  private void remove(PendingWork work, long ticket) {
-    byTicket.remove(ticket);
+  private void removeCaller(PendingWork work, long ticket) {
+    workByTicket.remove(ticket);
     work.callers.remove(ticket);
     work.idleSince = now;
   }
 
-  private void note(String event, PendingWork work, PendingWork.Caller caller, String fields) {
+  private void logEvent(String event, PendingWork work, PendingWork.Caller caller, String fields) {
     effects.add(
-        new IntakeEffect.Note(
+        new IntakeEffect.LogEvent(
             event,
             "work="
                 + work.id
--- a/burdockbay-core/src/main/java/org/burdockbay/core/lease/Backlog.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/lease/Backlog.java
@@ -9,45 +9,45 @@
    * The share of the upstreams' processors that tasks use while others wait. Two or three tasks
    * fill an upstream, so a part of each stays unused.
    */
-  private static final double USABLE_SHARE = 0.7;
+  private static final double USABLE_CPU_SHARE = 0.7;
 
-  private final double cpuMillicores;
-  private double waitingWork;
+  private final double usableMillicores;
+  private double waitingMillicoreMillis;
 
   /** Creates an empty backlog of the given upstreams. */
   Backlog(List<UpstreamLease> open) {
     long sum = 0;
     for (UpstreamLease upstream : open) {
-      sum += upstream.notice.capacity().cpuMillicores();
+      sum += upstream.announcement.capacity().cpuMillicores();
     }
-    cpuMillicores = sum * USABLE_SHARE;
+    usableMillicores = sum * USABLE_CPU_SHARE;
   }
 
   /** Adds the tasks of a piece of work that wait. */
   void add(WorkState work) {
-    waitingWork += waiting(work);
+    waitingMillicoreMillis += waitingMillicoreMillisOf(work);
   }
 
   /** Returns for how long the upstreams are busy with all this, in milliseconds. */
   double waitMillis() {
-    return millis(waitingWork);
+    return toMillis(waitingMillicoreMillis);
   }
 
   /** Returns for how long the upstreams would be busy with just this work, in milliseconds. */
-  double millisFor(WorkState work) {
-    return millis(waiting(work));
+  double processingMillis(WorkState work) {
+    return toMillis(waitingMillicoreMillisOf(work));
   }
 
   /** Without any upstream nothing can be said; the work then waits until it is late by itself. */
-  private double millis(double work) {
-    return cpuMillicores == 0 ? 0 : work / cpuMillicores;
+  private double toMillis(double work) {
+    return usableMillicores == 0 ? 0 : work / usableMillicores;
   }
 
-  private static double waiting(WorkState work) {
+  private static double waitingMillicoreMillisOf(WorkState work) {
     double sum = 0;
     for (List<TaskState> tasks : work.steps) {
       for (TaskState task : tasks) {
-        if (task.waits()) {
+        if (task.isWaiting()) {
           sum += (double) task.step.size().cpuMillicores() * task.step.estimateMillis();
         }
       }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/lease/DispatchContext.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/lease/DispatchContext.java
@@ -10,7 +10,7 @@
   private long now;
   private long arrivedAt;
   private long token;
-  private long lastOrder;
+  private long lastSequence;
 
   /** Returns the time in milliseconds. */
   long now() {
@@ -33,13 +33,13 @@
   }
 
   /** Lets time pass; it never goes back. */
-  void advance(long time) {
+  void advanceTo(long time) {
     now = Math.max(now, time);
     arrivedAt = now;
   }
 
   /** Notes that what is handled arrived earlier. */
-  void arrived(long time) {
+  void setArrivedAt(long time) {
     arrivedAt = Math.min(now, time);
   }
 
@@ -48,9 +48,9 @@
    *
    * <p>The clock can't tell which of two events in one millisecond came first.
    */
-  long nextOrder() {
-    lastOrder++;
-    return lastOrder;
+  long nextSequence() {
+    lastSequence++;
+    return lastSequence;
   }
 
   /** Returns the fencing token of the role; 0 without it. */
@@ -58,11 +58,11 @@
     return token;
   }
 
-  void hold(long newToken) {
+  void setToken(long newToken) {
     token = newToken;
   }
 
-  boolean dispatches() {
+  boolean isDispatching() {
     return token != 0;
   }
 
@@ -71,8 +71,8 @@
   }
 
   /** Notes a decision for the log; {@code fields} are key=value pairs. */
-  void note(String event, String fields) {
-    emit(new LeaseEffect.Note(event, fields));
+  void logEvent(String event, String fields) {
+    emit(new LeaseEffect.LogEvent(event, fields));
   }
 
   List<LeaseEffect> takeEffects() {
--- a/burdockbay-core/src/main/java/org/burdockbay/core/lease/LeaseDispatcher.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/lease/LeaseDispatcher.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.OptionalLong;
 import org.burdockbay.core.dispatch.DomainLoad;
-import org.burdockbay.core.fleet.UpstreamNotice;
+import org.burdockbay.core.fleet.UpstreamAnnouncement;
 
 /**
  * Dispatches sized tasks to leased upstreams, while this host has the role.
@@ -25,29 +25,29 @@
    * A gap between two events that shows that the process stood still, in milliseconds. A heartbeat
    * of 150 ms and this are less than the 450 ms after which hosts count as lost.
    */
-  private static final long STALL_MILLIS = 250;
+  private static final long PAUSE_THRESHOLD_MILLIS = 250;
 
   private static final int MILLICORES = 1_000;
 
   private final DispatchContext context = new DispatchContext();
   private final AdmissionRule admission = new AdmissionRule();
   private final StragglerRule stragglers = new StragglerRule();
-  private final RunBook runs;
-  private final WorkBook works;
-  private final LeaseBook leases;
+  private final RunTable runs;
+  private final WorkTable works;
+  private final LeaseTable leases;
 
   /** Whether something has happened since the last round of placements. */
-  private boolean unplaced;
+  private boolean placementNeeded;
 
   /**
    * Creates a dispatcher without the role.
    *
    * @param self the id of this host
    */
-  public LeaseDispatcher(String self, LeaseTerms terms) {
-    this.runs = new RunBook(context, terms);
-    this.works = new WorkBook(self, context, runs, admission);
-    this.leases = new LeaseBook(context, terms, runs, works);
+  public LeaseDispatcher(String self, LeaseTiming terms) {
+    this.runs = new RunTable(context, terms);
+    this.works = new WorkTable(self, context, runs, admission);
+    this.leases = new LeaseTable(context, terms, runs, works);
   }
 
   /** Handles an event and returns what is to be done; {@link #place} starts what can start. */
@@ -63,8 +63,8 @@
    *     so ticks have to be handled in time, however many events wait
    */
   public List<LeaseEffect> handle(LeaseEvent event, long arrivedAt, long time) {
-    observe(time);
-    context.arrived(arrivedAt);
+    observeTime(time);
+    context.setArrivedAt(arrivedAt);
     route(event);
     return context.takeEffects();
   }
@@ -76,74 +76,74 @@
    * an overloaded host falls behind, its heartbeats come late, and others take its role.
    */
   public List<LeaseEffect> place(long time) {
-    observe(time);
-    if (context.dispatches() && unplaced) {
-      unplaced = false;
-      schedule();
+    observeTime(time);
+    if (context.isDispatching() && placementNeeded) {
+      placementNeeded = false;
+      placeWaitingTasks();
     }
     return context.takeEffects();
   }
 
   /** Returns whether this host has the role. */
-  public boolean dispatches() {
-    return context.dispatches();
+  public boolean isDispatching() {
+    return context.isDispatching();
   }
 
   /** Returns the number of pieces of work that aren't answered yet. */
-  public int unanswered() {
-    return works.unanswered().size();
+  public int unansweredCount() {
+    return works.unansweredWork().size();
   }
 
   /** Returns how much room the upstreams have on which tasks may start now. */
   public DomainLoad load() {
-    List<UpstreamLease> open = leases.open();
+    List<UpstreamLease> open = leases.usableUpstreams();
     Backlog backlog = new Backlog(open);
-    works.unanswered().forEach(backlog::add);
+    works.unansweredWork().forEach(backlog::add);
     int freeCores =
         open.stream()
-            .mapToInt(upstream -> Math.max(0, upstream.free().cpuMillicores()) / MILLICORES)
+            .mapToInt(upstream -> Math.max(0, upstream.freeCapacity().cpuMillicores()) / MILLICORES)
             .sum();
     return new DomainLoad(freeCores, Math.round(backlog.waitMillis()));
   }
 
-  private void observe(long time) {
+  private void observeTime(long time) {
     long gap = time - context.now();
-    if (context.dispatches() && gap > STALL_MILLIS) {
-      stalled(gap);
+    if (context.isDispatching() && gap > PAUSE_THRESHOLD_MILLIS) {
+      releaseRoleAfterPause(gap);
     }
-    context.advance(time);
+    context.advanceTo(time);
   }
 
   private void route(LeaseEvent event) {
     switch (event) {
       case LeaseEvent.RoleGained gained -> roleGained(gained.token());
       case LeaseEvent.RoleLost lost -> roleLost();
-      case LeaseEvent.Announced announced -> leases.announced(announced.notice());
-      case LeaseEvent.Departed departed -> leases.departed(departed.notice());
-      case LeaseEvent.ScopeChanged changed -> {
-        leases.scopeChanged(changed.own(), changed.live());
-        unplaced = true;
+      case LeaseEvent.Announced announced -> leases.upstreamAnnounced(announced.announcement());
+      case LeaseEvent.Departed departed -> leases.upstreamDeparted(departed.announcement());
+      case LeaseEvent.ShardsChanged changed -> {
+        leases.shardsChanged(changed.ownShard(), changed.liveShards());
+        placementNeeded = true;
       }
-      case LeaseEvent.Stalled suspended -> {
-        if (context.dispatches()) {
-          stalled(suspended.millis());
+      case LeaseEvent.ProcessPaused suspended -> {
+        if (context.isDispatching()) {
+          releaseRoleAfterPause(suspended.pausedMillis());
         }
       }
       default -> {
-        if (context.dispatches()) {
-          dispatch(event);
-          unplaced = true;
+        if (context.isDispatching()) {
+          handleAsDispatcher(event);
+          placementNeeded = true;
         }
       }
     }
   }
 
-  private void dispatch(LeaseEvent event) {
+  private void handleAsDispatcher(LeaseEvent event) {
     switch (event) {
-      case LeaseEvent.Submitted submitted -> submitted(submitted);
-      case LeaseEvent.Cancelled cancelled -> cancelled(cancelled);
-      case LeaseEvent.EntryHeard heard -> works.entryHeard(heard.entryHost());
-      case LeaseEvent.EntryLost lost -> works.entryLost(lost.entryHost());
+      case LeaseEvent.Submitted submitted -> workSubmitted(submitted);
+      case LeaseEvent.Cancelled cancelled -> workCancelled(cancelled);
+      case LeaseEvent.EntryHostMessageReceived heard -> works.recordContact(heard.entryHost());
+      case LeaseEvent.EntryHostLost lost -> works.entryHostLost(lost.entryHost());
       case LeaseEvent.StartAnswered answered ->
           handleAnswer(
               answered.upstream(), answered.clockMillis(), () -> leases.startAnswered(answered));
@@ -158,14 +158,14 @@
     }
   }
 
-  private void submitted(LeaseEvent.Submitted submitted) {
-    if (meantForNow(submitted.token(), submitted.request().id())) {
-      works.submitted(submitted, leases);
+  private void workSubmitted(LeaseEvent.Submitted submitted) {
+    if (hasCurrentToken(submitted.token(), submitted.request().id())) {
+      works.submit(submitted, leases);
     }
   }
 
-  private void cancelled(LeaseEvent.Cancelled cancelled) {
-    if (meantForNow(cancelled.token(), cancelled.workId())) {
+  private void workCancelled(LeaseEvent.Cancelled cancelled) {
+    if (hasCurrentToken(cancelled.token(), cancelled.workId())) {
       works.abandon(cancelled.entryHost(), cancelled.workId());
     }
   }
@@ -178,9 +178,9 @@
    * run already. The entry host submits again as soon as it hears of the new token, and its
    * cancellation of the earlier submission must not meet the new one.
    */
-  private boolean meantForNow(long token, String workId) {
+  private boolean hasCurrentToken(long token, String workId) {
     if (token != context.token()) {
-      context.note(
+      context.logEvent(
           "message-outdated", "work=" + workId + " token=" + token + " now=" + context.token());
     }
     return token == context.token();
@@ -191,10 +191,11 @@
    * clock, as a suspended machine does. No event comes late by that clock then; but a start needs a
    * fresh reading of the upstream's clock, and the first one gives the standstill away.
    */
-  private void handleAnswer(UpstreamNotice upstream, OptionalLong clockMillis, Runnable handler) {
-    long standstill = leases.standstill(upstream, clockMillis);
-    if (standstill > STALL_MILLIS) {
-      stalled(standstill);
+  private void handleAnswer(
+      UpstreamAnnouncement upstream, OptionalLong clockMillis, Runnable handler) {
+    long standstill = leases.localPauseMillis(upstream, clockMillis);
+    if (standstill > PAUSE_THRESHOLD_MILLIS) {
+      releaseRoleAfterPause(standstill);
     } else {
       handler.run();
     }
@@ -203,13 +204,14 @@
   private void tick() {
     leases.tick();
     runs.tick();
-    runs.moveStragglers(stragglers, leases::open);
+    runs.moveStragglers(stragglers, leases::usableUpstreams);
     works.tick();
   }
 
   private void roleGained(long token) {
-    context.hold(token);
-    context.note("role-gained", "token=" + token + " upstreams=" + leases.inScope().size());
+    context.setToken(token);
+    context.logEvent(
+        "role-gained", "token=" + token + " upstreams=" + leases.ownUpstreams().size());
     leases.takeOver();
   }
 
@@ -218,42 +220,42 @@
    *
    * <p>A frozen process that goes on finds messages that were sent long ago, takes them for fresh,
    * and would start work that its entry hosts have given to another dispatcher meanwhile. Up to
-   * {@link #STALL_MILLIS} no entry host has turned away yet, since a heartbeat that was due during
-   * the stall is missing for less than the time after which hosts count as lost.
+   * {@link #PAUSE_THRESHOLD_MILLIS} no entry host has turned away yet, since a heartbeat that was
+   * due during the stall is missing for less than the time after which hosts count as lost.
    */
-  private void stalled(long millis) {
-    context.note("stalled", "millis=" + millis);
-    context.emit(new LeaseEffect.Stalled());
+  private void releaseRoleAfterPause(long millis) {
+    context.logEvent("stalled", "millis=" + millis);
+    context.emit(new LeaseEffect.RoleReleased());
     roleLost();
   }
 
   /** Forgets everything but the upstreams: what runs goes on until its lease is over. */
   private void roleLost() {
-    if (!context.dispatches()) {
+    if (!context.isDispatching()) {
       return;
     }
-    context.note("role-lost", "token=" + context.token() + " unanswered=" + unanswered());
-    context.hold(0);
+    context.logEvent("role-lost", "token=" + context.token() + " unanswered=" + unansweredCount());
+    context.setToken(0);
     works.clear();
     runs.clear();
-    leases.giveUp();
+    leases.releaseLeases();
   }
 
   /** Places waiting tasks, in the order that the {@link AdmissionRule} gives. */
-  private void schedule() {
-    if (works.unanswered().isEmpty()) {
+  private void placeWaitingTasks() {
+    if (works.unansweredWork().isEmpty()) {
       return;
     }
-    List<UpstreamLease> open = leases.open();
+    List<UpstreamLease> open = leases.usableUpstreams();
     PlacementPolicy placement = new PlacementPolicy(open, context.now());
     Backlog backlog = new Backlog(open);
-    boolean allHeard = leases.allHeard();
-    for (WorkState work : admission.order(works.unanswered(), context.now())) {
-      if (context.now() < work.quietUntil) {
+    boolean allHeard = leases.allAnswered();
+    for (WorkState work : admission.order(works.unansweredWork(), context.now())) {
+      if (context.now() < work.quietPeriodEndsAt) {
         continue;
       }
-      if (allHeard && !work.offered && late(work, backlog, placement)) {
-        works.refuse(work, "no room in time", AdmissionRule.RETRY_MILLIS);
+      if (allHeard && !work.mayHaveStarted && cannotStartInTime(work, backlog, placement)) {
+        works.refuse(work, "no room in time", AdmissionRule.RETRY_AFTER_MILLIS);
       } else {
         placeWork(work, placement);
         backlog.add(work);
@@ -262,13 +264,13 @@
   }
 
   /** Returns whether work can't have all its tasks started in time behind what goes first. */
-  private boolean late(WorkState work, Backlog backlog, PlacementPolicy placement) {
-    return admission.late(work, context.now(), backlog) && !placement.fitsWhole(work);
+  private boolean cannotStartInTime(WorkState work, Backlog backlog, PlacementPolicy placement) {
+    return admission.missesTarget(work, context.now(), backlog) && !placement.fitsCompletely(work);
   }
 
   private void placeWork(WorkState work, PlacementPolicy placement) {
     for (int step = 0; step < work.steps.size(); step++) {
-      if (work.ready(step)) {
+      if (work.isReady(step)) {
         placeTasks(work.steps.get(step), placement);
       }
     }
@@ -277,13 +279,13 @@
   /** Starts what fits; the tasks of a step are alike, so none fits after one that doesn't. */
   private void placeTasks(Iterable<TaskState> tasks, PlacementPolicy placement) {
     for (TaskState task : tasks) {
-      if (task.waits() && !runs.open(task.id)) {
+      if (task.isWaiting() && !runs.hasOpenRun(task.id)) {
         var chosen = placement.choose(task);
         if (chosen.isEmpty()) {
           return;
         }
         runs.start(task, chosen.get());
-        placement.roomChanged();
+        placement.updateMaxFreeCapacity();
       }
     }
   }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/lease/LeaseEvent.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/lease/LeaseEvent.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.OptionalLong;
 import java.util.Set;
-import org.burdockbay.core.fleet.UpstreamNotice;
+import org.burdockbay.core.fleet.UpstreamAnnouncement;
 import org.burdockbay.core.shard.ShardId;
 import org.burdockbay.core.work.RunId;
 import org.burdockbay.core.work.WorkRequest;
@@ -20,14 +20,14 @@
   /**
    * The shard of this host, or the shards that divide the fleet, have changed.
    *
-   * @param own the shard that this host dispatches, or would
-   * @param live the shards that have a dispatcher
+   * @param ownShard the shard that this host dispatches, or would
+   * @param liveShards the shards that have a dispatcher
    */
-  record ScopeChanged(ShardId own, Set<ShardId> live) implements LeaseEvent {
+  record ShardsChanged(ShardId ownShard, Set<ShardId> liveShards) implements LeaseEvent {
 
     /** Copies the set. */
-    public ScopeChanged {
-      live = Set.copyOf(live);
+    public ShardsChanged {
+      liveShards = Set.copyOf(liveShards);
     }
   }
 
@@ -37,7 +37,8 @@
    * @param token the token under which the entry host takes this host for the dispatcher
    * @param ticket the entry host's number for the request; the same in each repetition
    * @param ageMillis how long ago the caller's request arrived
-   * @param quietMillis for how long no task may start, as an earlier dispatcher may still run some
+   * @param quietPeriodMillis for how long no task may start, as an earlier dispatcher may still run
+   *     some
    */
   record Submitted(
       String entryHost,
@@ -45,7 +46,7 @@
       long ticket,
       WorkRequest request,
       long ageMillis,
-      long quietMillis)
+      long quietPeriodMillis)
       implements LeaseEvent {}
 
   /**
@@ -56,31 +57,31 @@
   record Cancelled(String entryHost, long token, String workId) implements LeaseEvent {}
 
   /** A heartbeat of an entry host arrived. */
-  record EntryHeard(String entryHost) implements LeaseEvent {}
+  record EntryHostMessageReceived(String entryHost) implements LeaseEvent {}
 
   /** An entry host is lost, so its callers' connections are too. */
-  record EntryLost(String entryHost) implements LeaseEvent {}
+  record EntryHostLost(String entryHost) implements LeaseEvent {}
 
   /** An upstream announced itself. */
-  record Announced(UpstreamNotice notice) implements LeaseEvent {}
+  record Announced(UpstreamAnnouncement announcement) implements LeaseEvent {}
 
   /** An upstream has left, or wasn't heard of for long. */
-  record Departed(UpstreamNotice notice) implements LeaseEvent {}
+  record Departed(UpstreamAnnouncement announcement) implements LeaseEvent {}
 
   /** A start was answered. */
   record StartAnswered(
-      UpstreamNotice upstream, RunId run, OrderResult result, OptionalLong clockMillis)
+      UpstreamAnnouncement upstream, RunId run, OrderResult result, OptionalLong clockMillis)
       implements LeaseEvent {}
 
   /** A stop was answered. */
   record StopAnswered(
-      UpstreamNotice upstream, RunId run, OrderResult result, OptionalLong clockMillis)
+      UpstreamAnnouncement upstream, RunId run, OrderResult result, OptionalLong clockMillis)
       implements LeaseEvent {}
 
   /** A renewal was answered; the lists are empty unless the result is {@link OrderResult#DONE}. */
   record RenewalAnswered(
-      UpstreamNotice upstream,
-      long renewal,
+      UpstreamAnnouncement upstream,
+      long renewalNumber,
       OrderResult result,
       OptionalLong clockMillis,
       List<RunId> running,
@@ -95,7 +96,7 @@
   }
 
   /** The machine was suspended, which its steady clock doesn't show. */
-  record Stalled(long millis) implements LeaseEvent {}
+  record ProcessPaused(long pausedMillis) implements LeaseEvent {}
 
   /** Time passes; at least every 100 ms. */
   record Tick() implements LeaseEvent {}
--- a/burdockbay-core/src/main/java/org/burdockbay/core/lease/LeaseTerms.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/lease/LeaseTiming.java
@@ -5,23 +5,24 @@
  *
  * @param leaseMillis how long a renewed lease lasts on the upstream's clock
  * @param pollMillis how long a renewal waits at the upstream for an end
- * @param resendMillis silence after which an order is sent again, and a renewal beyond its wait
- *     counts as missed
- * @param answerMillis silence after which an order counts as unanswered
+ * @param resendIntervalMillis silence after which an order is sent again, and a renewal beyond its
+ *     wait counts as missed
+ * @param answerTimeoutMillis silence after which an order counts as unanswered
  */
-public record LeaseTerms(long leaseMillis, long pollMillis, long resendMillis, long answerMillis) {
+public record LeaseTiming(
+    long leaseMillis, long pollMillis, long resendIntervalMillis, long answerTimeoutMillis) {
 
   /** Silence after which an entry host's work is dropped, in milliseconds: three heartbeats. */
-  public static final long ENTRY_LOST_MILLIS = 450;
+  public static final long ENTRY_HOST_SILENCE_TIMEOUT_MILLIS = 450;
 
   /** An upstream's clock may run this much slow: its second lasts up to 1.02 seconds. */
-  public static final double SLOWEST_CLOCK = 0.98;
+  public static final double MIN_CLOCK_RATE = 0.98;
 
   /**
    * Time for an upstream to end what its lease no longer covers, with a margin for the granularity
    * of clocks, in milliseconds.
    */
-  public static final long END_MILLIS = 60;
+  public static final long RUN_TERMINATION_MILLIS = 60;
 
   /**
    * Terms for callers that ask again 1.3 s after a broken connection.
@@ -32,10 +33,10 @@
    * lets no lease run out. An order is answered within a few round trips between domains; one that
    * isn't after 40 ms is lost or held up, and half of a short task's slack is left.
    */
-  public static final LeaseTerms DEFAULT = new LeaseTerms(700, 150, 40, 300);
+  public static final LeaseTiming DEFAULT = new LeaseTiming(700, 150, 40, 300);
 
   /** Returns the longest time that a lease renewed now may last in true time. */
-  public long longestMillis() {
-    return (long) Math.ceil(leaseMillis / SLOWEST_CLOCK) + END_MILLIS;
+  public long maxLeaseMillis() {
+    return (long) Math.ceil(leaseMillis / MIN_CLOCK_RATE) + RUN_TERMINATION_MILLIS;
   }
 }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/lease/LeasedRun.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/lease/LeasedRun.java
@@ -22,13 +22,13 @@
   final RunId id;
   final UpstreamLease upstream;
   final TaskSize size;
-  final long sentAt;
+  final long beganAt;
 
   /** End of the lease that its start carries, on the upstream's clock, in milliseconds. */
-  long leaseEnd;
+  long leaseEndMillis;
 
   /** When the start was sent last, in milliseconds. */
-  long startSentAt;
+  long lastStartSentAt;
 
   /** Whether it has taken much longer than expected. */
   boolean overdue;
@@ -37,7 +37,7 @@
   int startsSent = 1;
 
   /** Starts that were neither answered nor given up. */
-  int startsOpen = 1;
+  int unansweredStarts = 1;
 
   Phase phase = Phase.STARTING;
 
@@ -46,12 +46,12 @@
 
   /**
    * Where the upstream's confirmation of the start or the stop stands in the order of {@link
-   * DispatchContext#nextOrder}; 0 before it came.
+   * DispatchContext#nextSequence}; 0 before it came.
    */
-  long confirmed;
+  long confirmedSequence;
 
   /** When the stop was sent last, in milliseconds; 0 before and once no answer is expected. */
-  long stopSentAt;
+  long lastStopSentAt;
 
   int stopsSent;
 
@@ -60,8 +60,8 @@
     this.upstream = upstream;
     this.task = task;
     this.size = task.step.size();
-    this.sentAt = sentAt;
-    this.startSentAt = sentAt;
+    this.beganAt = sentAt;
+    this.lastStartSentAt = sentAt;
   }
 
   /** Creates a run of an earlier dispatcher that nobody has claimed; its size isn't known. */
@@ -69,9 +69,9 @@
     this.id = id;
     this.upstream = upstream;
     this.size = TaskSize.ZERO;
-    this.sentAt = foundAt;
-    this.startSentAt = foundAt;
+    this.beganAt = foundAt;
+    this.lastStartSentAt = foundAt;
     this.startsSent = 0;
-    this.startsOpen = 0;
+    this.unansweredStarts = 0;
   }
 }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/lease/PlacementPolicy.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/lease/PlacementPolicy.java
@@ -15,14 +15,14 @@
  */
 final class PlacementPolicy {
 
-  private final List<UpstreamLease> open;
+  private final List<UpstreamLease> candidates;
   private final long now;
 
   /**
    * The most room that any upstream has in each respect. Under overload nearly every task is turned
    * away by this alone, instead of by a look at each upstream.
    */
-  private TaskSize mostRoom = TaskSize.ZERO;
+  private TaskSize maxFreeCapacity = TaskSize.ZERO;
 
   /**
    * Creates the policy for one round of placements.
@@ -31,38 +31,38 @@
    * @param now the time in milliseconds
    */
   PlacementPolicy(List<UpstreamLease> open, long now) {
-    this.open = open;
+    this.candidates = open;
     this.now = now;
-    roomChanged();
+    updateMaxFreeCapacity();
   }
 
   /** Takes note that a task was started on one of the upstreams. */
-  void roomChanged() {
-    mostRoom = TaskSize.ZERO;
-    for (UpstreamLease upstream : open) {
-      mostRoom = mostRoom.max(upstream.free());
+  void updateMaxFreeCapacity() {
+    maxFreeCapacity = TaskSize.ZERO;
+    for (UpstreamLease upstream : candidates) {
+      maxFreeCapacity = maxFreeCapacity.max(upstream.freeCapacity());
     }
   }
 
   /** Returns whether all tasks of the steps that are ready could start now. */
-  boolean fitsWhole(WorkState work) {
+  boolean fitsCompletely(WorkState work) {
     for (int step = 0; step < work.steps.size(); step++) {
-      if (work.ready(step) && !fitsWhole(work.steps.get(step))) {
+      if (work.isReady(step) && !fitsCompletely(work.steps.get(step))) {
         return false;
       }
     }
     return true;
   }
 
-  private boolean fitsWhole(List<TaskState> tasks) {
+  private boolean fitsCompletely(List<TaskState> tasks) {
     TaskState first = tasks.getFirst();
-    if (!first.step.size().fitsInto(mostRoom)) {
+    if (!first.step.size().fitsInto(maxFreeCapacity)) {
       return false;
     }
     int left = tasks.size();
-    for (UpstreamLease upstream : open) {
-      if (serves(upstream, first)) {
-        left -= Math.min(left, first.step.size().timesInto(upstream.free()));
+    for (UpstreamLease upstream : candidates) {
+      if (isCompatible(upstream, first)) {
+        left -= Math.min(left, first.step.size().maxCountIn(upstream.freeCapacity()));
       }
     }
     return left == 0;
@@ -70,13 +70,13 @@
 
   /** Returns the upstream that is to run the task; empty if none can now. */
   Optional<UpstreamLease> choose(TaskState task) {
-    if (!task.step.size().fitsInto(mostRoom)) {
+    if (!task.step.size().fitsInto(maxFreeCapacity)) {
       return Optional.empty();
     }
     UpstreamLease best = null;
     long bestScore = Long.MAX_VALUE;
-    for (UpstreamLease upstream : open) {
-      if (!eligible(upstream, task)) {
+    for (UpstreamLease upstream : candidates) {
+      if (!isEligible(upstream, task)) {
         continue;
       }
       long score = score(upstream, task);
@@ -89,29 +89,30 @@
   }
 
   /** Returns whether some upstream of the service could ever run the task, busy or not. */
-  static boolean possible(Collection<UpstreamLease> upstreams, TaskState task) {
+  static boolean canEverRun(Collection<UpstreamLease> upstreams, TaskState task) {
     return upstreams.stream()
         .anyMatch(
             upstream ->
-                serves(upstream, task) && task.step.size().fitsInto(upstream.notice.capacity()));
+                isCompatible(upstream, task)
+                    && task.step.size().fitsInto(upstream.announcement.capacity()));
   }
 
-  private boolean eligible(UpstreamLease upstream, TaskState task) {
-    return upstream.usable(now)
-        && upstream.takesMore()
-        && serves(upstream, task)
-        && task.step.size().fitsInto(upstream.free())
-        && !upstream.notice.id().equals(task.avoidedUpstream)
-        && belowLimit(upstream, task);
+  private boolean isEligible(UpstreamLease upstream, TaskState task) {
+    return upstream.isUsable(now)
+        && upstream.acceptsAnotherTask()
+        && isCompatible(upstream, task)
+        && task.step.size().fitsInto(upstream.freeCapacity())
+        && !upstream.announcement.id().equals(task.avoidedUpstream)
+        && isBelowTaskLimit(upstream, task);
   }
 
-  private static boolean serves(UpstreamLease upstream, TaskState task) {
-    return upstream.notice.service().equals(task.work.request.service())
-        && task.step.requiredLabel().map(upstream.notice.labels()::contains).orElse(true);
+  private static boolean isCompatible(UpstreamLease upstream, TaskState task) {
+    return upstream.announcement.service().equals(task.work.request.service())
+        && task.step.requiredLabel().map(upstream.announcement.labels()::contains).orElse(true);
   }
 
-  private static boolean belowLimit(UpstreamLease upstream, TaskState task) {
-    int limit = task.step.mostOnOneUpstream();
+  private static boolean isBelowTaskLimit(UpstreamLease upstream, TaskState task) {
+    int limit = task.step.maxTasksPerUpstream();
     if (limit == 0) {
       return true;
     }
@@ -125,9 +126,9 @@
 
   private static long score(UpstreamLease upstream, TaskState task) {
     WorkStep step = task.step;
-    TaskSize rest = upstream.free().minus(step.size());
+    TaskSize rest = upstream.freeCapacity().minus(step.size());
     boolean far =
-        step.nearRack().map(rack -> !upstream.notice.labels().contains(rack)).orElse(false);
+        step.nearRack().map(rack -> !upstream.announcement.labels().contains(rack)).orElse(false);
     long score = rest.cpuMillicores() + ((long) rest.accelerators() << 32);
     return far ? score + (1L << 48) : score;
   }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/lease/RunBook.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/lease/RunTable.java
@@ -12,46 +12,46 @@
  *
  * <p>A task has at most one of them. It starts again only once that one is over.
  */
-final class RunBook {
+final class RunTable {
 
   /** An order is sent so often at most before lists decide; each copy may be lost by itself. */
-  private static final int MOST_COPIES = 4;
+  private static final int MAX_COPIES = 4;
 
   /** A renewal counts as lost after so many times the usual time for an answer. */
-  private static final double LOST_RATIO = 5;
+  private static final double RENEWAL_TIMEOUT_RATIO = 5;
 
   /** The weight of the newest answer in the usual time for one. */
-  private static final double NEWEST_WEIGHT = 0.1;
+  private static final double NEWEST_ANSWER_WEIGHT = 0.1;
 
   /**
    * How much later than an order another one was sent, in milliseconds, whose answer shows that the
    * first one is lost; answers of calls that were sent together come in any order.
    */
-  private static final long OVERTAKEN_MILLIS = 10;
+  private static final long REORDERING_TOLERANCE_MILLIS = 10;
 
   private final DispatchContext context;
-  private final LeaseTerms terms;
+  private final LeaseTiming timing;
   private final Map<TaskId, LeasedRun> openRuns = new HashMap<>();
-  private final TakenOverRuns takenOver = new TakenOverRuns();
+  private final TakenOverRuns takenOverRuns = new TakenOverRuns();
 
   /** How long starts take to be answered, in milliseconds; a moving average. */
-  private double answerMillis;
+  private double meanAnswerMillis;
 
   /** When the newest call that was answered had been sent, in milliseconds. */
   private long newestAnsweredSentAt;
 
-  RunBook(DispatchContext context, LeaseTerms terms) {
+  RunTable(DispatchContext context, LeaseTiming terms) {
     this.context = context;
-    this.terms = terms;
+    this.timing = terms;
   }
 
   /** Takes note of how long a start took to be answered, in milliseconds. */
-  void answeredAfter(long millis) {
-    answerMillis += NEWEST_WEIGHT * (millis - answerMillis);
+  void recordAnswerTime(long millis) {
+    meanAnswerMillis += NEWEST_ANSWER_WEIGHT * (millis - meanAnswerMillis);
   }
 
   /** Takes note that a call that was sent at some time was answered. */
-  void answered(long sentAt) {
+  void recordAnswered(long sentAt) {
     newestAnsweredSentAt = Math.max(newestAnsweredSentAt, sentAt);
   }
 
@@ -62,9 +62,9 @@
    * late, and copies would add to the load that makes it slow. A host that takes over on a cold
    * process would send four copies of each of its first starts.
    */
-  private boolean lost(long sentAt) {
-    return context.now() - sentAt >= terms.resendMillis()
-        && newestAnsweredSentAt - sentAt >= OVERTAKEN_MILLIS;
+  private boolean isLost(long sentAt) {
+    return context.now() - sentAt >= timing.resendIntervalMillis()
+        && newestAnsweredSentAt - sentAt >= REORDERING_TOLERANCE_MILLIS;
   }
 
   /**
@@ -72,64 +72,66 @@
    *
    * <p>It follows what is usual, for the same reason.
    */
-  long renewalMillis() {
+  long renewalTimeoutMillis() {
     return Math.clamp(
-        Math.round(LOST_RATIO * answerMillis), terms.resendMillis(), terms.answerMillis());
+        Math.round(RENEWAL_TIMEOUT_RATIO * meanAnswerMillis),
+        timing.resendIntervalMillis(),
+        timing.answerTimeoutMillis());
   }
 
   /** Returns whether a run of the task may be under way. */
-  boolean open(TaskId task) {
+  boolean hasOpenRun(TaskId task) {
     return openRuns.containsKey(task);
   }
 
   void clear() {
     openRuns.clear();
-    takenOver.clear();
+    takenOverRuns.clear();
   }
 
   void start(TaskState task, UpstreamLease upstream) {
-    task.lastRun++;
-    RunId id = new RunId(task.id, task.lastRun);
+    task.lastRunNumber++;
+    RunId id = new RunId(task.id, task.lastRunNumber);
     LeasedRun run = new LeasedRun(id, upstream, task, context.now());
     task.run = run;
-    task.work.offered = true;
-    upstream.add(run);
+    task.work.mayHaveStarted = true;
+    upstream.addRun(run);
     openRuns.put(task.id, run);
-    upstream.covered(terms, context.now());
-    run.leaseEnd = upstream.deadline(terms, context.now());
+    upstream.extendCoverage(timing, context.now());
+    run.leaseEndMillis = upstream.leaseDeadline(timing, context.now());
     sendStart(run, task);
-    context.note(
+    context.logEvent(
         "run-begun",
         "run="
             + id
             + " upstream="
-            + upstream.notice.id()
+            + upstream.announcement.id()
             + " age="
             + (context.now() - task.work.arrivedAt)
             + " free="
-            + upstream.free().cpuMillicores());
+            + upstream.freeCapacity().cpuMillicores());
   }
 
   private void sendStart(LeasedRun run, TaskState task) {
     context.emit(
         new LeaseEffect.Start(
-            run.upstream.notice,
+            run.upstream.announcement,
             run.id,
             task.work.request.payload(),
             context.token(),
-            run.leaseEnd));
+            run.leaseEndMillis));
   }
 
   /** Gives the work the runs that an earlier dispatcher started and that were found running. */
-  void adoptAll(WorkState work) {
+  void adoptRuns(WorkState work) {
     for (List<TaskState> tasks : work.steps) {
       for (TaskState task : tasks) {
-        if (takenOver.takeFinished(task.id)) {
-          work.finished(task);
+        if (takenOverRuns.claimResult(task.id)) {
+          work.markFinished(task);
           continue;
         }
-        takenOver
-            .takeRunning(task.id)
+        takenOverRuns
+            .claimRun(task.id)
             .ifPresent(found -> adopt(task, found.upstream(), found.run()));
       }
     }
@@ -139,24 +141,24 @@
     LeasedRun run = new LeasedRun(id, upstream, task, context.now());
     run.phase = LeasedRun.Phase.RUNNING;
     run.startsSent = 0;
-    run.startsOpen = 0;
-    run.confirmed = context.nextOrder();
+    run.unansweredStarts = 0;
+    run.confirmedSequence = context.nextSequence();
     task.run = run;
-    task.lastRun = Math.max(task.lastRun, id.run());
-    task.work.offered = true;
-    upstream.add(run);
+    task.lastRunNumber = Math.max(task.lastRunNumber, id.number());
+    task.work.mayHaveStarted = true;
+    upstream.addRun(run);
     openRuns.put(task.id, run);
-    context.note("run-adopted", "run=" + id + " upstream=" + upstream.notice.id());
+    context.logEvent("run-adopted", "run=" + id + " upstream=" + upstream.announcement.id());
   }
 
   /** Keeps a run or result of an earlier dispatcher for the work that it belongs to. */
-  void keepRunning(RunId id, UpstreamLease upstream) {
-    takenOver.foundRunning(id, upstream, context.now());
+  void retainRun(RunId id, UpstreamLease upstream) {
+    takenOverRuns.addRun(id, upstream, context.now());
   }
 
   /** Keeps a result of an earlier dispatcher for the work that it belongs to. */
-  void keepFinished(TaskId task) {
-    takenOver.foundFinished(task, context.now());
+  void retainResult(TaskId task) {
+    takenOverRuns.addResult(task, context.now());
   }
 
   /**
@@ -166,48 +168,49 @@
    * confirmed. Answers on several connections overtake each other, and a list that was made before
    * a start may come after its confirmation; taken for proof, it would let the task run twice.
    */
-  void compare(LeasedRun run, boolean there) {
-    boolean listedSince = run.confirmed != 0 && run.confirmed < run.upstream.renewalSent;
+  void reconcile(LeasedRun run, boolean there) {
+    boolean listedSince =
+        run.confirmedSequence != 0 && run.confirmedSequence < run.upstream.renewalSequence;
     switch (run.phase) {
       case UNSURE -> {
         if (there) {
           run.phase = LeasedRun.Phase.RUNNING;
-          run.confirmed = context.nextOrder();
+          run.confirmedSequence = context.nextSequence();
         } else {
           stop(run);
         }
       }
       case RUNNING, STOPPING -> {
         if (!there && listedSince) {
-          missing(run);
-        } else if (run.phase == LeasedRun.Phase.STOPPING && run.stopSentAt == 0) {
+          endMissingRun(run);
+        } else if (run.phase == LeasedRun.Phase.STOPPING && run.lastStopSentAt == 0) {
           stop(run);
         }
       }
       case STARTING -> {
         if (there) {
           run.phase = LeasedRun.Phase.RUNNING;
-          run.confirmed = context.nextOrder();
+          run.confirmedSequence = context.nextSequence();
         }
       }
       default -> throw new IllegalStateException("unknown phase " + run.phase);
     }
   }
 
-  private void missing(LeasedRun run) {
-    context.note(
+  private void endMissingRun(LeasedRun run) {
+    context.logEvent(
         "run-missing",
         "run="
             + run.id
             + " upstream="
-            + run.upstream.notice.id()
+            + run.upstream.announcement.id()
             + " phase="
             + run.phase
             + " confirmed="
-            + run.confirmed
+            + run.confirmedSequence
             + " asked="
-            + run.upstream.renewalSent);
-    runOver(run);
+            + run.upstream.renewalSequence);
+    endRun(run);
   }
 
   /**
@@ -217,22 +220,22 @@
    * a copy that is held up may be carried out later. The run then counts as over only once a stop
    * was confirmed, after which the upstream refuses every copy.
    */
-  void refused(LeasedRun run, OrderResult result) {
-    context.note(
+  void startRefused(LeasedRun run, OrderResult result) {
+    context.logEvent(
         "start-refused",
         "run="
             + run.id
             + " upstream="
-            + run.upstream.notice.id()
+            + run.upstream.announcement.id()
             + " result="
             + result
             + " sent="
             + run.startsSent);
     if (result != OrderResult.OLD) {
-      run.upstream.pause(context.now());
+      run.upstream.pauseStarts(context.now());
     }
     if (run.startsSent == 1) {
-      runOver(run);
+      endRun(run);
     } else if (run.phase == LeasedRun.Phase.STARTING) {
       stop(run);
     }
@@ -240,32 +243,33 @@
 
   /** Takes note that a copy of a start gets no answer. */
   void startUnanswered(LeasedRun run) {
-    if (run.startsOpen == 0 && run.phase == LeasedRun.Phase.STARTING) {
-      unsure(run);
+    if (run.unansweredStarts == 0 && run.phase == LeasedRun.Phase.STARTING) {
+      markUnsure(run);
     }
   }
 
-  private void unsure(LeasedRun run) {
+  private void markUnsure(LeasedRun run) {
     run.phase = LeasedRun.Phase.UNSURE;
-    context.note("start-unanswered", "run=" + run.id + " upstream=" + run.upstream.notice.id());
+    context.logEvent(
+        "start-unanswered", "run=" + run.id + " upstream=" + run.upstream.announcement.id());
   }
 
   void stop(LeasedRun run) {
     run.phase = LeasedRun.Phase.STOPPING;
-    run.confirmed = 0;
+    run.confirmedSequence = 0;
     run.stopsSent = 0;
     sendStop(run);
   }
 
   private void sendStop(LeasedRun run) {
-    run.stopSentAt = context.now();
+    run.lastStopSentAt = context.now();
     run.stopsSent++;
-    context.emit(new LeaseEffect.Stop(run.upstream.notice, run.id, context.token()));
+    context.emit(new LeaseEffect.Stop(run.upstream.announcement, run.id, context.token()));
   }
 
   /** Takes note that a run is over, whatever became of it; its task may start again. */
-  void runOver(LeasedRun run) {
-    run.upstream.remove(run);
+  void endRun(LeasedRun run) {
+    run.upstream.removeRun(run);
     openRuns.remove(run.id.task(), run);
     TaskState task = run.task;
     if (task != null) {
@@ -275,19 +279,19 @@
   }
 
   /** Takes note that everything that ran on an upstream is over. */
-  void allOver(UpstreamLease upstream) {
-    List.copyOf(upstream.runs.values()).forEach(this::runOver);
+  void endRunsOn(UpstreamLease upstream) {
+    List.copyOf(upstream.runs.values()).forEach(this::endRun);
   }
 
   /** Takes note that an upstream's life is over, with all that ran there. */
-  void forget(UpstreamLease upstream) {
-    allOver(upstream);
-    takenOver.forget(upstream);
+  void forgetUpstream(UpstreamLease upstream) {
+    endRunsOn(upstream);
+    takenOverRuns.forgetUpstream(upstream);
   }
 
   /** Returns whether an upstream has runs of an earlier dispatcher that nobody has claimed yet. */
-  boolean unclaimedOn(UpstreamLease upstream) {
-    return takenOver.anyOn(upstream);
+  boolean hasUnclaimedRuns(UpstreamLease upstream) {
+    return takenOverRuns.hasRunsOn(upstream);
   }
 
   /**
@@ -296,43 +300,44 @@
    * @param open the upstreams on which tasks may start now
    */
   void moveStragglers(StragglerRule rule, Supplier<List<UpstreamLease>> open) {
-    List<LeasedRun> stragglers = rule.stragglers(openRuns.values(), context.now());
+    List<LeasedRun> stragglers = rule.findStragglers(openRuns.values(), context.now());
     if (!stragglers.isEmpty()) {
       PlacementPolicy placement = new PlacementPolicy(open.get(), context.now());
-      stragglers.forEach(run -> straggles(run, rule, placement));
+      stragglers.forEach(run -> handleStraggler(run, rule, placement));
     }
   }
 
-  private void straggles(LeasedRun run, StragglerRule rule, PlacementPolicy placement) {
+  private void handleStraggler(LeasedRun run, StragglerRule rule, PlacementPolicy placement) {
     TaskState task = run.task;
     if (task == null) {
       return;
     }
     if (!run.overdue) {
       run.overdue = true;
-      run.upstream.disappointed(task.work.request.id(), context.now());
-      context.note(
+      run.upstream.recordFailure(task.work.request.id(), context.now());
+      context.logEvent(
           "run-overdue",
           "run="
               + run.id
               + " upstream="
-              + run.upstream.notice.id()
+              + run.upstream.announcement.id()
               + " age="
-              + (context.now() - run.sentAt)
+              + (context.now() - run.beganAt)
               + " estimate="
               + task.step.estimateMillis());
     }
-    task.avoidedUpstream = run.upstream.notice.id();
-    if (rule.worthMoving(task, context.now()) && placement.choose(task).isPresent()) {
+    task.avoidedUpstream = run.upstream.announcement.id();
+    if (rule.isWorthMoving(task, context.now()) && placement.choose(task).isPresent()) {
       task.moves++;
-      context.note("run-moved", "run=" + run.id + " upstream=" + run.upstream.notice.id());
+      context.logEvent(
+          "run-moved", "run=" + run.id + " upstream=" + run.upstream.announcement.id());
       stop(run);
     }
   }
 
   void tick() {
-    openRuns.values().forEach(this::sendAgain);
-    takenOver.expire(context.now()).forEach(this::stopUnclaimed);
+    openRuns.values().forEach(this::resendIfLost);
+    takenOverRuns.removeUnclaimed(context.now()).forEach(this::stopUnclaimed);
   }
 
   /**
@@ -342,12 +347,12 @@
    * copies carry the same run, so the upstream carries out one of them at most, and the same end of
    * the lease: a later one would hold for all that runs there, also for what is being stopped.
    */
-  private void sendAgain(LeasedRun run) {
+  private void resendIfLost(LeasedRun run) {
     switch (run.phase) {
-      case STARTING -> startAgain(run);
+      case STARTING -> resendStartIfLost(run);
       case STOPPING -> {
-        boolean open = run.confirmed == 0 && run.stopSentAt != 0;
-        if (open && run.stopsSent < MOST_COPIES && lost(run.stopSentAt)) {
+        boolean open = run.confirmedSequence == 0 && run.lastStopSentAt != 0;
+        if (open && run.stopsSent < MAX_COPIES && isLost(run.lastStopSentAt)) {
           sendStop(run);
         }
       }
@@ -357,33 +362,33 @@
     }
   }
 
-  private void startAgain(LeasedRun run) {
+  private void resendStartIfLost(LeasedRun run) {
     TaskState task = run.task;
-    if (context.now() - run.sentAt >= terms.answerMillis()) {
-      unsure(run);
-    } else if (task != null && run.startsSent < MOST_COPIES && lost(run.startSentAt)) {
-      run.startSentAt = context.now();
+    if (context.now() - run.beganAt >= timing.answerTimeoutMillis()) {
+      markUnsure(run);
+    } else if (task != null && run.startsSent < MAX_COPIES && isLost(run.lastStartSentAt)) {
+      run.lastStartSentAt = context.now();
       run.startsSent++;
-      run.startsOpen++;
+      run.unansweredStarts++;
       sendStart(run, task);
-      context.note(
+      context.logEvent(
           "start-resent",
           "run="
               + run.id
               + " upstream="
-              + run.upstream.notice.id()
+              + run.upstream.announcement.id()
               + " times="
               + run.startsSent
               + " silence="
-              + (context.now() - run.sentAt));
+              + (context.now() - run.beganAt));
     }
   }
 
-  private void stopUnclaimed(TakenOverRuns.Found found) {
-    context.note(
-        "run-unclaimed", "run=" + found.run() + " upstream=" + found.upstream().notice.id());
+  private void stopUnclaimed(TakenOverRuns.FoundRun found) {
+    context.logEvent(
+        "run-unclaimed", "run=" + found.run() + " upstream=" + found.upstream().announcement.id());
     LeasedRun run = new LeasedRun(found.run(), found.upstream(), context.now());
-    found.upstream().add(run);
+    found.upstream().addRun(run);
     openRuns.putIfAbsent(found.run().task(), run);
     stop(run);
   }
@@ -395,9 +400,9 @@
    * has claimed, may start elsewhere under another dispatcher as soon as the lease that it had is
    * over; a longer one would let the two overlap.
    */
-  boolean mayExtend(UpstreamLease upstream) {
-    return !unclaimedOn(upstream)
+  boolean mayExtendLease(UpstreamLease upstream) {
+    return !hasUnclaimedRuns(upstream)
         && upstream.runs.values().stream()
-            .noneMatch(run -> run.phase == LeasedRun.Phase.STOPPING && run.confirmed == 0);
+            .noneMatch(run -> run.phase == LeasedRun.Phase.STOPPING && run.confirmedSequence == 0);
   }
 }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/lease/TaskState.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/lease/TaskState.java
@@ -16,7 +16,7 @@
   /** How often it was taken from an upstream on which it took too long. */
   int moves;
 
-  long lastRun;
+  long lastRunNumber;
 
   /** The run that is under way, if one is. */
   @Nullable LeasedRun run;
@@ -30,7 +30,7 @@
     this.step = step;
   }
 
-  boolean waits() {
+  boolean isWaiting() {
     return !done && run == null;
   }
 }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/lease/UpstreamLease.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/lease/UpstreamLease.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.OptionalLong;
-import org.burdockbay.core.fleet.UpstreamNotice;
+import org.burdockbay.core.fleet.UpstreamAnnouncement;
 import org.burdockbay.core.work.RunId;
 import org.burdockbay.core.work.TaskSize;
 
@@ -11,93 +11,95 @@
 final class UpstreamLease {
 
   /** Starts on an upstream without room or out of order pause for this long, in milliseconds. */
-  static final long PAUSE_MILLIS = 200;
+  static final long BASE_PAUSE_MILLIS = 200;
 
   /** A run of failures doubles the pause up to this, in milliseconds. */
-  static final long LONGEST_PAUSE_MILLIS = 3_000;
+  static final long MAX_PAUSE_MILLIS = 3_000;
 
-  private static final int MOST_DOUBLINGS = 3;
+  private static final int MAX_DOUBLINGS = 3;
 
   final Map<RunId, LeasedRun> runs = new HashMap<>();
-  UpstreamNotice notice;
+  UpstreamAnnouncement announcement;
 
   /** Whether it belongs to this host's shard. */
-  boolean inScope;
+  boolean inOwnShard;
 
   /** Whether a renewal under the present token was answered. */
-  boolean owned;
+  boolean tokenAccepted;
 
-  TaskSize used = TaskSize.ZERO;
+  TaskSize usedCapacity = TaskSize.ZERO;
 
   /** Until when runs may go on there, whatever happens to this host; milliseconds. */
   long coveredUntil;
 
-  long renewal;
-  boolean renewalOpen;
+  long renewalNumber;
+  boolean renewalInFlight;
 
-  /** Where the last renewal stands in the order of {@link DispatchContext#nextOrder}. */
-  long renewalSent;
+  /** Where the last renewal stands in the order of {@link DispatchContext#nextSequence}. */
+  long renewalSequence;
 
-  long renewAt;
+  long nextRenewalAt;
 
   /** When it last answered a renewal under the present token, in milliseconds. */
-  long listedAt;
+  long lastRenewedAt;
 
-  long acknowledged;
-  int unanswered;
+  long acknowledgedEnd;
+  int unansweredRenewals;
 
   /** How often in a row it has refused this host's token. */
-  int fencedTimes;
+  int consecutiveRefusals;
 
   /** How often in a row it failed a task, was too slow or took none; 0 once a task went well. */
-  int failureStreak;
+  int consecutiveFailures;
 
   /** The work whose task failed or was too slow there last; empty if none. */
-  String blamedWork = "";
+  String lastFailedWork = "";
 
   long pausedUntil;
 
   /** When the last renewal was sent, in milliseconds. */
   long renewalSentAt;
 
-  /** By how much its clock is ahead of this host's at most, as of {@link #aheadReadAt}. */
-  private OptionalLong aheadAtMost = OptionalLong.empty();
+  /**
+   * By how much its clock is ahead of this host's at most, as of {@link #maxClockLeadMeasuredAt}.
+   */
+  private OptionalLong maxClockLead = OptionalLong.empty();
 
-  private long aheadReadAt;
-  private boolean clockKnown;
-  private long clockThere;
-  private long clockHere;
+  private long maxClockLeadMeasuredAt;
+  private boolean hasClockReading;
+  private long upstreamClockMillis;
+  private long clockReadAt;
 
-  UpstreamLease(UpstreamNotice notice, boolean inScope) {
-    this.notice = notice;
-    this.inScope = inScope;
+  UpstreamLease(UpstreamAnnouncement notice, boolean inScope) {
+    this.announcement = notice;
+    this.inOwnShard = inScope;
   }
 
   /** Returns whether it takes new tasks now. */
-  boolean usable(long now) {
-    return inScope
-        && owned
-        && clockKnown
-        && unanswered == 0
-        && !notice.leaving()
+  boolean isUsable(long now) {
+    return inOwnShard
+        && tokenAccepted
+        && hasClockReading
+        && unansweredRenewals == 0
+        && !announcement.leaving()
         && now >= pausedUntil;
   }
 
   /** Returns whether it has answered a renewal under the present token. */
-  boolean hasObeyed() {
-    return listedAt != 0;
+  boolean hasEverAcceptedToken() {
+    return lastRenewedAt != 0;
   }
 
-  TaskSize free() {
-    return notice.capacity().minus(used);
+  TaskSize freeCapacity() {
+    return announcement.capacity().minus(usedCapacity);
   }
 
   /** Notes the upstream's clock as it was read at some time before {@code now}. */
-  void clockRead(OptionalLong clock, long now) {
+  void recordClock(OptionalLong clock, long now) {
     if (clock.isPresent()) {
-      clockKnown = true;
-      clockThere = clock.getAsLong();
-      clockHere = now;
+      hasClockReading = true;
+      upstreamClockMillis = clock.getAsLong();
+      clockReadAt = now;
     }
   }
 
@@ -109,25 +111,25 @@
    * that clock is ahead. Apart from clock drift, the lower bound cannot exceed the upper bounds
    * from earlier renewals unless this host's clock has stood still.
    */
-  long clockJump(long clock, long now) {
-    return aheadAtMost.isEmpty() ? 0 : clock - now - aheadAtMostAt(now);
+  long localPauseMillis(long clock, long now) {
+    return maxClockLead.isEmpty() ? 0 : clock - now - maxClockLeadAt(now);
   }
 
   /**
    * Sets the upper bound on how far the upstream's clock is ahead, or lowers it if the answer to a
    * renewal gives a tighter one: the upstream read its clock after the renewal was sent.
    */
-  void updateAheadAtMost(long clock, long now) {
+  void updateMaxClockLead(long clock, long now) {
     long upper = clock - renewalSentAt;
-    if (aheadAtMost.isEmpty() || upper < aheadAtMostAt(now)) {
-      aheadAtMost = OptionalLong.of(upper);
-      aheadReadAt = now;
+    if (maxClockLead.isEmpty() || upper < maxClockLeadAt(now)) {
+      maxClockLead = OptionalLong.of(upper);
+      maxClockLeadMeasuredAt = now;
     }
   }
 
-  private long aheadAtMostAt(long now) {
-    double drift = (now - aheadReadAt) * (1 - LeaseTerms.SLOWEST_CLOCK);
-    return aheadAtMost.orElseThrow() + (long) Math.ceil(drift);
+  private long maxClockLeadAt(long now) {
+    double drift = (now - maxClockLeadMeasuredAt) * (1 - LeaseTiming.MIN_CLOCK_RATE);
+    return maxClockLead.orElseThrow() + (long) Math.ceil(drift);
   }
 
   /**
@@ -135,29 +137,29 @@
    *
    * <p>The estimate of the upstream's time is never ahead of it: the reading is older than its
    * answer, and the upstream's clock runs at the slowest rate allowed. So no lease lasts longer
-   * than {@link LeaseTerms#longestMillis}. An order that is held up on the network comes with a
+   * than {@link LeaseTiming#maxLeaseMillis}. An order that is held up on the network comes with a
    * lease that has run out.
    */
-  long deadline(LeaseTerms terms, long now) {
-    if (!clockKnown) {
+  long leaseDeadline(LeaseTiming terms, long now) {
+    if (!hasClockReading) {
       return 0;
     }
-    long passed = (long) ((now - clockHere) * LeaseTerms.SLOWEST_CLOCK);
-    return clockThere + passed + terms.leaseMillis();
+    long passed = (long) ((now - clockReadAt) * LeaseTiming.MIN_CLOCK_RATE);
+    return upstreamClockMillis + passed + terms.leaseMillis();
   }
 
-  void covered(LeaseTerms terms, long now) {
-    coveredUntil = Math.max(coveredUntil, now + terms.longestMillis());
+  void extendCoverage(LeaseTiming terms, long now) {
+    coveredUntil = Math.max(coveredUntil, now + terms.maxLeaseMillis());
   }
 
-  void add(LeasedRun run) {
+  void addRun(LeasedRun run) {
     runs.put(run.id, run);
-    used = used.plus(run.size);
+    usedCapacity = usedCapacity.plus(run.size);
   }
 
-  void remove(LeasedRun run) {
+  void removeRun(LeasedRun run) {
     if (runs.remove(run.id) != null) {
-      used = used.minus(run.size);
+      usedCapacity = usedCapacity.minus(run.size);
     }
   }
 
@@ -168,9 +170,9 @@
    * twice as long, so that a dead upstream costs a call every 1.6 s for as long as it is
    * remembered.
    */
-  long silencePause() {
-    int lost = unanswered - LeaseBook.SOON_REPEATED;
-    return lost <= 0 ? 0 : PAUSE_MILLIS << Math.min(lost - 1, MOST_DOUBLINGS);
+  long renewalBackoffMillis() {
+    int lost = unansweredRenewals - LeaseTable.MAX_SHORT_TIMEOUT_RENEWALS;
+    return lost <= 0 ? 0 : BASE_PAUSE_MILLIS << Math.min(lost - 1, MAX_DOUBLINGS);
   }
 
   /**
@@ -179,8 +181,8 @@
    * <p>One that has failed or been too slow last gets a single task on trial: one that fails fast
    * looks idle and would draw all tasks of the next jobs.
    */
-  boolean takesMore() {
-    return failureStreak == 0 || runs.isEmpty();
+  boolean acceptsAnotherTask() {
+    return consecutiveFailures == 0 || runs.isEmpty();
   }
 
   /**
@@ -189,19 +191,19 @@
    * <p>The first time may be the job's fault, so starts pause only from the second job in a row on;
    * else a job that fails everywhere would close every upstream that it meets.
    */
-  void disappointed(String work, long now) {
-    if (failureStreak == 0) {
-      failureStreak = 1;
-    } else if (!blamedWork.equals(work)) {
-      pause(now);
+  void recordFailure(String work, long now) {
+    if (consecutiveFailures == 0) {
+      consecutiveFailures = 1;
+    } else if (!lastFailedWork.equals(work)) {
+      pauseStarts(now);
     }
-    blamedWork = work;
+    lastFailedWork = work;
   }
 
   /** Keeps starts away for a while that doubles with each failure in a row. */
-  void pause(long now) {
-    failureStreak++;
-    long pause = PAUSE_MILLIS << Math.min(Math.max(0, failureStreak - 2), 8);
-    pausedUntil = now + Math.min(pause, LONGEST_PAUSE_MILLIS);
+  void pauseStarts(long now) {
+    consecutiveFailures++;
+    long pause = BASE_PAUSE_MILLIS << Math.min(Math.max(0, consecutiveFailures - 2), 8);
+    pausedUntil = now + Math.min(pause, MAX_PAUSE_MILLIS);
   }
 }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/lease/WorkState.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/lease/WorkState.java
@@ -19,51 +19,51 @@
   final Map<String, Long> tickets = new LinkedHashMap<>();
 
   final List<List<TaskState>> steps = new ArrayList<>();
-  private final int[] undone;
+  private final int[] unfinishedTasks;
 
   /** Run times of the tasks of each step that are done, in milliseconds, and their number. */
-  private final long[] runMillis;
+  private final long[] totalRunMillis;
 
-  private final int[] runs;
-  private final long chainMillis;
+  private final int[] finishedRuns;
+  private final long criticalPathMillis;
 
   /** Until then no task starts, since an earlier dispatcher's runs may go on; milliseconds. */
-  long quietUntil;
+  long quietPeriodEndsAt;
 
   /** Whether a start of one of its tasks was ever sent. */
-  boolean offered;
+  boolean mayHaveStarted;
 
   WorkState(WorkRequest request, long arrivedAt) {
     this.request = request;
     this.arrivedAt = arrivedAt;
-    this.undone = new int[request.steps().size()];
-    this.runMillis = new long[request.steps().size()];
-    this.runs = new int[request.steps().size()];
+    this.unfinishedTasks = new int[request.steps().size()];
+    this.totalRunMillis = new long[request.steps().size()];
+    this.finishedRuns = new int[request.steps().size()];
     for (int step = 0; step < request.steps().size(); step++) {
       WorkStep content = request.steps().get(step);
       List<TaskState> tasks = new ArrayList<>();
-      for (int index = 0; index < content.tasks(); index++) {
+      for (int index = 0; index < content.taskCount(); index++) {
         tasks.add(new TaskState(this, new TaskId(request.id(), step, index), content));
       }
       steps.add(tasks);
-      undone[step] = content.tasks();
+      unfinishedTasks[step] = content.taskCount();
     }
-    this.chainMillis = chain();
+    this.criticalPathMillis = computeCriticalPath();
   }
 
   /** Returns the longest chain of estimated run times, in milliseconds. */
-  long chainMillis() {
-    return chainMillis;
+  long criticalPathMillis() {
+    return criticalPathMillis;
   }
 
   /** Returns until when the answer counts as prompt, by the caller's estimates. */
-  long promptUntil() {
-    return arrivedAt + request.targetMillis() + Math.round(request.stretch() * chainMillis);
+  long promptAnswerDeadline() {
+    return arrivedAt + request.targetMillis() + Math.round(request.stretch() * criticalPathMillis);
   }
 
   /** Returns the latest time at which the first task can start for a prompt answer. */
-  long latestStart() {
-    return promptUntil() - chainMillis;
+  long latestStartAt() {
+    return promptAnswerDeadline() - criticalPathMillis;
   }
 
   /** Returns when the caller leaves. */
@@ -71,32 +71,33 @@
     return arrivedAt + request.budgetMillis();
   }
 
-  boolean ready(int step) {
-    return request.steps().get(step).after().stream().allMatch(before -> undone[before] == 0);
+  boolean isReady(int step) {
+    return request.steps().get(step).predecessors().stream()
+        .allMatch(before -> unfinishedTasks[before] == 0);
   }
 
-  void finished(TaskState task) {
+  void markFinished(TaskState task) {
     if (!task.done) {
       task.done = true;
-      undone[task.id.step()]--;
+      unfinishedTasks[task.id.step()]--;
     }
   }
 
   /** Notes how long a task of a step ran until it was done, in milliseconds. */
-  void ran(int step, long millis) {
-    runMillis[step] += millis;
-    runs[step]++;
+  void recordRunTime(int step, long millis) {
+    totalRunMillis[step] += millis;
+    finishedRuns[step]++;
   }
 
   /** Returns how long the tasks of a step that are done ran on average; empty before any is. */
   OptionalDouble meanRunMillis(int step) {
-    return runs[step] == 0
+    return finishedRuns[step] == 0
         ? OptionalDouble.empty()
-        : OptionalDouble.of((double) runMillis[step] / runs[step]);
+        : OptionalDouble.of((double) totalRunMillis[step] / finishedRuns[step]);
   }
 
-  boolean complete() {
-    for (int left : undone) {
+  boolean isComplete() {
+    for (int left : unfinishedTasks) {
       if (left > 0) {
         return false;
       }
@@ -104,13 +105,13 @@
     return true;
   }
 
-  private long chain() {
+  private long computeCriticalPath() {
     long[] ends = new long[request.steps().size()];
     long longest = 0;
     for (int step = 0; step < ends.length; step++) {
       WorkStep content = request.steps().get(step);
       long start = 0;
-      for (int before : content.after()) {
+      for (int before : content.predecessors()) {
         start = Math.max(start, ends[before]);
       }
       ends[step] = start + content.estimateMillis();
--- a/burdockbay-core/src/main/java/org/burdockbay/core/lease/WorkBook.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/lease/WorkTable.java
@@ -15,25 +15,25 @@
  * <p>The same work submitted again joins what is under way, or gets the outcome that was told
  * before.
  */
-final class WorkBook {
+final class WorkTable {
 
   /** Outcomes are kept for entry hosts that ask again, in milliseconds. */
-  private static final long KEPT_OUTCOME_MILLIS = 5_000;
+  private static final long OUTCOME_RETENTION_MILLIS = 5_000;
 
   /** Numbers of runs are kept for so many pieces of work; at 100 a second for some minutes. */
-  private static final int KEPT_RUN_NUMBERS = 20_000;
+  private static final int MAX_RETAINED_RUN_NUMBERS = 20_000;
 
   private final String self;
   private final DispatchContext context;
-  private final RunBook runs;
+  private final RunTable runs;
   private final AdmissionRule admission;
   private final Map<String, WorkState> works = new LinkedHashMap<>();
-  private final Map<String, Long> entriesHeard = new HashMap<>();
-  private final Map<String, KeptOutcome> outcomes = new LinkedHashMap<>();
-  private final Map<RefusedTicket, KeptOutcome> refusals = new HashMap<>();
-  private final Map<String, Long> highestRuns = new LinkedHashMap<>();
+  private final Map<String, Long> lastContacts = new HashMap<>();
+  private final Map<String, RetainedOutcome> outcomes = new LinkedHashMap<>();
+  private final Map<RefusedTicket, RetainedOutcome> refusals = new HashMap<>();
+  private final Map<String, Long> highestRunNumbers = new LinkedHashMap<>();
 
-  WorkBook(String self, DispatchContext context, RunBook runs, AdmissionRule admission) {
+  WorkTable(String self, DispatchContext context, RunTable runs, AdmissionRule admission) {
     this.self = self;
     this.context = context;
     this.runs = runs;
@@ -41,35 +41,35 @@
   }
 
   /** Returns the work that isn't answered. */
-  Collection<WorkState> unanswered() {
+  Collection<WorkState> unansweredWork() {
     return works.values();
   }
 
   /** Forgets everything but the numbers of runs: answers to them may still come. */
   void clear() {
-    works.values().forEach(this::keepRunNumber);
+    works.values().forEach(this::retainRunNumber);
     works.clear();
-    entriesHeard.clear();
+    lastContacts.clear();
     outcomes.clear();
     refusals.clear();
   }
 
   /** Notes that an entry host is alive. */
-  void entryHeard(String entryHost) {
-    entriesHeard.merge(entryHost, context.arrivedAt(), Math::max);
+  void recordContact(String entryHost) {
+    lastContacts.merge(entryHost, context.arrivedAt(), Math::max);
   }
 
   /** Takes submitted work up, or refuses it. */
-  void submitted(LeaseEvent.Submitted submitted, LeaseBook leases) {
+  void submit(LeaseEvent.Submitted submitted, LeaseTable leases) {
     String id = submitted.request().id();
-    entryHeard(submitted.entryHost());
-    KeptOutcome kept = outcomes.get(id);
-    if (kept != null && context.now() - kept.at <= KEPT_OUTCOME_MILLIS) {
+    recordContact(submitted.entryHost());
+    RetainedOutcome kept = outcomes.get(id);
+    if (kept != null && context.now() - kept.decidedAt <= OUTCOME_RETENTION_MILLIS) {
       report(submitted.entryHost(), id, kept.outcome);
       return;
     }
     RefusedTicket ticket = new RefusedTicket(submitted.entryHost(), submitted.ticket());
-    KeptOutcome refused = refusals.get(ticket);
+    RetainedOutcome refused = refusals.get(ticket);
     if (refused != null) {
       // A repetition that crossed the refusal on its way. Starting it now would make the refusal,
       // which promised that nothing runs, untrue.
@@ -80,53 +80,54 @@
     if (known != null) {
       // The same work again, from this or another entry host: it joins what is under way.
       known.tickets.put(submitted.entryHost(), submitted.ticket());
-      known.quietUntil = Math.max(known.quietUntil, context.now() + submitted.quietMillis());
-      known.offered |= submitted.quietMillis() > 0;
+      known.quietPeriodEndsAt =
+          Math.max(known.quietPeriodEndsAt, context.now() + submitted.quietPeriodMillis());
+      known.mayHaveStarted |= submitted.quietPeriodMillis() > 0;
       return;
     }
-    boolean mayHaveRun = submitted.quietMillis() > 0 || highestRuns.containsKey(id);
-    if (mayHaveRun && context.waitedMillis() > AdmissionRule.MOST_WAIT_MILLIS) {
+    boolean mayHaveRun = submitted.quietPeriodMillis() > 0 || highestRunNumbers.containsKey(id);
+    if (mayHaveRun && context.waitedMillis() > AdmissionRule.MAX_WAIT_MILLIS) {
       // It can't be refused as "not run", and is too old to start; the entry host repeats it.
-      context.note("submission-late", "work=" + id + " waited=" + context.waitedMillis());
+      context.logEvent("submission-late", "work=" + id + " waited=" + context.waitedMillis());
       return;
     }
     WorkState work =
         new WorkState(submitted.request(), context.arrivedAt() - submitted.ageMillis());
     work.tickets.put(submitted.entryHost(), submitted.ticket());
-    work.quietUntil = context.now() + submitted.quietMillis();
+    work.quietPeriodEndsAt = context.now() + submitted.quietPeriodMillis();
     // Dropped before, for an entry host that was lost and is back, or run by another dispatcher:
     // "not run" can't be promised any more.
-    work.offered = mayHaveRun;
+    work.mayHaveStarted = mayHaveRun;
     works.put(id, work);
-    long lastRun = highestRuns.getOrDefault(id, 0L);
-    work.steps.forEach(tasks -> tasks.forEach(task -> task.lastRun = lastRun));
-    runs.adoptAll(work);
-    if (work.complete()) {
+    long lastRun = highestRunNumbers.getOrDefault(id, 0L);
+    work.steps.forEach(tasks -> tasks.forEach(task -> task.lastRunNumber = lastRun));
+    runs.adoptRuns(work);
+    if (work.isComplete()) {
       answer(work, new WorkOutcome.Completed());
-    } else if (leases.allHeard()
-        && !work.offered
-        && admission.overdue(work, context.waitedMillis())) {
-      refuse(work, "dispatcher overloaded", AdmissionRule.RETRY_MILLIS);
+    } else if (leases.allAnswered()
+        && !work.mayHaveStarted
+        && admission.waitedTooLong(work, context.waitedMillis())) {
+      refuse(work, "dispatcher overloaded", AdmissionRule.RETRY_AFTER_MILLIS);
     } else {
       refuseImpossible(work, leases);
     }
   }
 
   /** Refuses at once what no upstream can run, or none of this shard; others may then be asked. */
-  private void refuseImpossible(WorkState work, LeaseBook leases) {
-    if (leases.all().isEmpty() || work.offered) {
+  private void refuseImpossible(WorkState work, LeaseTable leases) {
+    if (leases.allUpstreams().isEmpty() || work.mayHaveStarted) {
       return;
     }
-    if (!possible(work, leases.all())) {
-      refuse(work, "no upstream can run it", AdmissionRule.RETRY_MILLIS);
-    } else if (!possible(work, leases.inScope())) {
-      refuse(work, "no upstream of the shard can run it", AdmissionRule.RETRY_MILLIS);
+    if (!canEverRun(work, leases.allUpstreams())) {
+      refuse(work, "no upstream can run it", AdmissionRule.RETRY_AFTER_MILLIS);
+    } else if (!canEverRun(work, leases.ownUpstreams())) {
+      refuse(work, "no upstream of the shard can run it", AdmissionRule.RETRY_AFTER_MILLIS);
     }
   }
 
-  private static boolean possible(WorkState work, Collection<UpstreamLease> upstreams) {
+  private static boolean canEverRun(WorkState work, Collection<UpstreamLease> upstreams) {
     return work.steps.stream()
-        .allMatch(tasks -> PlacementPolicy.possible(upstreams, tasks.getFirst()));
+        .allMatch(tasks -> PlacementPolicy.canEverRun(upstreams, tasks.getFirst()));
   }
 
   void abandon(String entryHost, String workId) {
@@ -136,7 +137,8 @@
     }
     work.tickets.remove(entryHost);
     if (work.tickets.isEmpty()) {
-      context.note("work-abandoned", "work=" + workId + " age=" + (context.now() - work.arrivedAt));
+      context.logEvent(
+          "work-abandoned", "work=" + workId + " age=" + (context.now() - work.arrivedAt));
       drop(work);
     }
   }
@@ -147,7 +149,7 @@
    * <p>Its caller comes again elsewhere, perhaps to a dispatcher on the other side of a partition.
    * What runs here has to be over by then.
    */
-  void entryLost(String entryHost) {
+  void entryHostLost(String entryHost) {
     List<String> lost =
         works.values().stream()
             .filter(work -> work.tickets.containsKey(entryHost))
@@ -156,7 +158,7 @@
     lost.forEach(id -> abandon(entryHost, id));
   }
 
-  @Nullable TaskState task(TaskId id) {
+  @Nullable TaskState findTask(TaskId id) {
     WorkState work = works.get(id.work());
     boolean exists =
         work != null
@@ -166,45 +168,46 @@
   }
 
   /** Takes the result of a run of an earlier dispatcher. */
-  void foundFinished(TaskId id) {
-    TaskState task = task(id);
+  void resultFound(TaskId id) {
+    TaskState task = findTask(id);
     if (task == null) {
-      runs.keepFinished(id);
-    } else if (task.waits()) {
-      finish(task);
+      runs.retainResult(id);
+    } else if (task.isWaiting()) {
+      finishTask(task);
     }
   }
 
-  void finish(TaskState task) {
-    task.work.finished(task);
-    if (task.work.complete()) {
+  void finishTask(TaskState task) {
+    task.work.markFinished(task);
+    if (task.work.isComplete()) {
       answer(task.work, new WorkOutcome.Completed());
     }
   }
 
   void answer(WorkState work, WorkOutcome outcome) {
     String id = work.request.id();
-    outcomes.put(id, new KeptOutcome(outcome, context.now()));
+    outcomes.put(id, new RetainedOutcome(outcome, context.now()));
     work.tickets.keySet().forEach(host -> report(host, id, outcome));
     drop(work);
   }
 
   void refuse(WorkState work, String reason, long retryAfterMillis) {
-    context.note(
+    context.logEvent(
         "work-refused",
         "work="
             + work.request.id()
             + " age="
             + (context.now() - work.arrivedAt)
             + " estimate="
-            + work.chainMillis()
+            + work.criticalPathMillis()
             + " reason="
             + reason.replace(' ', '-'));
     works.remove(work.request.id());
     WorkOutcome outcome = new WorkOutcome.NotRun(reason, retryAfterMillis);
     work.tickets.forEach(
         (host, ticket) -> {
-          refusals.put(new RefusedTicket(host, ticket), new KeptOutcome(outcome, context.now()));
+          refusals.put(
+              new RefusedTicket(host, ticket), new RetainedOutcome(outcome, context.now()));
           report(host, work.request.id(), outcome);
         });
   }
@@ -216,7 +219,7 @@
   /** Forgets work and stops what runs of it. */
   private void drop(WorkState work) {
     works.remove(work.request.id());
-    keepRunNumber(work);
+    retainRunNumber(work);
     for (List<TaskState> tasks : work.steps) {
       for (TaskState task : tasks) {
         LeasedRun run = task.run;
@@ -230,58 +233,61 @@
   }
 
   /** Keeps the highest number of a run, so that no later run of the work gets the same one. */
-  private void keepRunNumber(WorkState work) {
+  private void retainRunNumber(WorkState work) {
     long highest = 0;
     for (List<TaskState> tasks : work.steps) {
       for (TaskState task : tasks) {
-        highest = Math.max(highest, task.lastRun);
+        highest = Math.max(highest, task.lastRunNumber);
       }
     }
     if (highest > 0) {
-      highestRuns.put(work.request.id(), highest);
+      highestRunNumbers.put(work.request.id(), highest);
     }
   }
 
   void tick() {
-    dropLostEntries();
+    dropLostEntryHosts();
     long now = context.now();
-    outcomes.values().removeIf(kept -> now - kept.at > KEPT_OUTCOME_MILLIS);
-    refusals.values().removeIf(kept -> now - kept.at > KEPT_OUTCOME_MILLIS);
-    if (highestRuns.size() > KEPT_RUN_NUMBERS) {
-      highestRuns.remove(highestRuns.keySet().iterator().next());
+    outcomes.values().removeIf(kept -> now - kept.decidedAt > OUTCOME_RETENTION_MILLIS);
+    refusals.values().removeIf(kept -> now - kept.decidedAt > OUTCOME_RETENTION_MILLIS);
+    if (highestRunNumbers.size() > MAX_RETAINED_RUN_NUMBERS) {
+      highestRunNumbers.remove(highestRunNumbers.keySet().iterator().next());
     }
-    List.copyOf(works.values()).forEach(this::expire);
+    List.copyOf(works.values()).forEach(this::expireIfDue);
   }
 
-  private void dropLostEntries() {
+  private void dropLostEntryHosts() {
     List<String> silent =
-        entriesHeard.entrySet().stream()
-            .filter(heard -> context.now() - heard.getValue() > LeaseTerms.ENTRY_LOST_MILLIS)
+        lastContacts.entrySet().stream()
+            .filter(
+                heard ->
+                    context.now() - heard.getValue()
+                        > LeaseTiming.ENTRY_HOST_SILENCE_TIMEOUT_MILLIS)
             .map(Map.Entry::getKey)
             .filter(host -> !host.equals(self))
             .toList();
     for (String host : silent) {
-      entriesHeard.remove(host);
-      entryLost(host);
+      lastContacts.remove(host);
+      entryHostLost(host);
     }
   }
 
-  private void expire(WorkState work) {
+  private void expireIfDue(WorkState work) {
     if (context.now() >= work.expiresAt()) {
-      if (work.offered) {
-        context.note(
+      if (work.mayHaveStarted) {
+        context.logEvent(
             "work-expired",
             "work=" + work.request.id() + " age=" + (context.now() - work.arrivedAt));
         answer(work, new WorkOutcome.GivenUp("not finished in time"));
       } else {
-        refuse(work, "not started in time", AdmissionRule.RETRY_MILLIS);
+        refuse(work, "not started in time", AdmissionRule.RETRY_AFTER_MILLIS);
       }
-    } else if (!work.offered && admission.hopeless(work, context.now())) {
-      refuse(work, "no room in time", AdmissionRule.RETRY_MILLIS);
+    } else if (!work.mayHaveStarted && admission.exceedsTimeout(work, context.now())) {
+      refuse(work, "no room in time", AdmissionRule.RETRY_AFTER_MILLIS);
     }
   }
 
-  private record KeptOutcome(WorkOutcome outcome, long at) {}
+  private record RetainedOutcome(WorkOutcome outcome, long decidedAt) {}
 
   private record RefusedTicket(String entryHost, long ticket) {}
 }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/ledger/Ledger.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/ledger/Ledger.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 import org.burdockbay.core.dispatch.LedgerRequest;
 import org.burdockbay.core.error.ErrorKind;
-import org.burdockbay.core.error.RunPromise;
+import org.burdockbay.core.error.RunGuarantee;
 import org.burdockbay.core.runner.RunnerId;
 import org.burdockbay.core.submission.JobOutcome;
 import org.burdockbay.core.submission.SubmissionKey;
@@ -35,18 +35,18 @@
   public static final long RETENTION_MILLIS = 3_600_000;
 
   /** Records that the ledger may hold. */
-  public static final int MOST_RECORDS = 200_000;
+  public static final int MAX_RECORDS = 200_000;
 
   /** Characters of kept answers over all records. */
-  public static final long MOST_CHARACTERS = 24_000_000;
+  public static final long MAX_CHARACTERS = 24_000_000;
 
   /** Characters of the answers of one record; larger answers are reported but not kept. */
-  public static final int MOST_RECORD_CHARACTERS = 262_144;
+  public static final int MAX_CHARACTERS_PER_RECORD = 262_144;
 
   private final Map<String, DomainState> domains = new HashMap<>();
   private final Map<SubmissionKey, Submission> submissions = new LinkedHashMap<>();
-  private final Queue<Submission> closedInOrder = new ArrayDeque<>();
-  private long characters;
+  private final Queue<Submission> closedOldestFirst = new ArrayDeque<>();
+  private long retainedCharacters;
 
   /**
    * Applies a command; the result depends only on the commands so far and their times.
@@ -86,7 +86,7 @@
     submissions.values().stream()
         .filter(submission -> submission.outcome == null)
         .forEach(submission -> records.add(submission.image()));
-    closedInOrder.forEach(submission -> records.add(submission.image()));
+    closedOldestFirst.forEach(submission -> records.add(submission.image()));
     return new LedgerImage(domainRecords, records);
   }
 
@@ -94,8 +94,8 @@
   public void restore(LedgerImage image) {
     domains.clear();
     submissions.clear();
-    closedInOrder.clear();
-    characters = 0;
+    closedOldestFirst.clear();
+    retainedCharacters = 0;
     for (LedgerImage.DomainRecord record : image.domains()) {
       DomainState domain = new DomainState(record.domain());
       domain.epoch = record.epoch();
@@ -144,14 +144,14 @@
     }
     Submission known = submissions.get(open.key());
     if (known == null) {
-      if (submissions.size() >= MOST_RECORDS || characters >= MOST_CHARACTERS) {
+      if (submissions.size() >= MAX_RECORDS || retainedCharacters >= MAX_CHARACTERS) {
         return new LedgerReply.Full();
       }
       submissions.put(
           open.key(), new Submission(open.key(), open.digest(), open.tasks(), domain.name));
       return new LedgerReply.Granted();
     }
-    LedgerReply state = describe(known, open.digest());
+    LedgerReply state = replyForExisting(known, open.digest());
     boolean openHere =
         state instanceof LedgerReply.OpenElsewhere elsewhere
             && elsewhere.domain().equals(domain.name);
@@ -162,12 +162,12 @@
 
   private LedgerReply lookUp(LedgerRequest.Lookup lookup) {
     Submission known = submissions.get(lookup.key());
-    return known == null ? new LedgerReply.Unknown() : describe(known, lookup.digest());
+    return known == null ? new LedgerReply.Unknown() : replyForExisting(known, lookup.digest());
   }
 
-  private static LedgerReply describe(Submission known, String digest) {
+  private static LedgerReply replyForExisting(Submission known, String digest) {
     if (!digest.equals(LedgerRequest.ANY_DIGEST) && !digest.equals(known.digest)) {
-      return new LedgerReply.OtherContent();
+      return new LedgerReply.ContentMismatch();
     }
     if (known.outcome != null) {
       return new LedgerReply.Closed(known.outcome);
@@ -188,12 +188,12 @@
     }
     boolean neverRan =
         close.outcome() instanceof JobOutcome.Failed failed
-            && failed.kind().promise() == RunPromise.NOT_RUN;
+            && failed.kind().runGuarantee() == RunGuarantee.NOT_RUN;
     if (neverRan) {
       // The caller was told that it may come back with the same key, so the key is free again.
       submissions.remove(close.key());
     } else {
-      markClosed(known, keepable(close.outcome()), now);
+      markClosed(known, withinSizeLimit(close.outcome()), now);
     }
     return new LedgerReply.Granted();
   }
@@ -201,27 +201,28 @@
   private void markClosed(Submission submission, JobOutcome outcome, long closedAt) {
     submission.outcome = outcome;
     submission.closedAt = closedAt;
-    closedInOrder.add(submission);
-    characters += characters(outcome);
+    closedOldestFirst.add(submission);
+    retainedCharacters += countCharacters(outcome);
   }
 
   private void expireClosed(long now) {
-    while (!closedInOrder.isEmpty() && closedInOrder.peek().closedAt + RETENTION_MILLIS <= now) {
-      Submission expired = closedInOrder.remove();
+    while (!closedOldestFirst.isEmpty()
+        && closedOldestFirst.peek().closedAt + RETENTION_MILLIS <= now) {
+      Submission expired = closedOldestFirst.remove();
       submissions.remove(expired.key);
-      characters -= characters(Optional.ofNullable(expired.outcome).orElseThrow());
+      retainedCharacters -= countCharacters(Optional.ofNullable(expired.outcome).orElseThrow());
     }
   }
 
-  private static JobOutcome keepable(JobOutcome outcome) {
-    if (characters(outcome) <= MOST_RECORD_CHARACTERS) {
+  private static JobOutcome withinSizeLimit(JobOutcome outcome) {
+    if (countCharacters(outcome) <= MAX_CHARACTERS_PER_RECORD) {
       return outcome;
     }
     String detail = "the job completed; its answer was too large to be kept";
     return new JobOutcome.Failed(ErrorKind.ANSWER_NOT_KEPT, detail, 0);
   }
 
-  private static long characters(JobOutcome outcome) {
+  private static long countCharacters(JobOutcome outcome) {
     return switch (outcome) {
       case JobOutcome.Completed completed ->
           completed.answers().stream().mapToLong(String::length).sum();
--- a/burdockbay-core/src/main/java/org/burdockbay/core/ledger/LedgerReply.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/ledger/LedgerReply.java
@@ -36,7 +36,7 @@
   record Closed(JobOutcome outcome) implements LedgerReply {}
 
   /** The key was used with other content. */
-  record OtherContent() implements LedgerReply {}
+  record ContentMismatch() implements LedgerReply {}
 
   /** The epoch of the command is not the registered one. */
   record Fenced(long epoch) implements LedgerReply {}
--- a/burdockbay-core/src/main/java/org/burdockbay/core/membership/HostCard.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/membership/HostDescriptor.java
@@ -8,4 +8,4 @@
  * @param domain its failure domain
  * @param address IP address and port where it listens for other hosts
  */
-public record HostCard(String id, String group, String domain, String address) {}
+public record HostDescriptor(String id, String group, String domain, String address) {}
--- a/burdockbay-core/src/main/java/org/burdockbay/core/membership/HostStatus.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/membership/HostStatus.java
@@ -65,7 +65,7 @@
   }
 
   /** Returns whether another status differs at most in the load. */
-  public boolean equalsButLoad(HostStatus other) {
+  public boolean equalsIgnoringLoad(HostStatus other) {
     return new HostStatus(
             host,
             domain,
--- a/burdockbay-core/src/main/java/org/burdockbay/core/membership/Membership.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/membership/Membership.java
@@ -14,9 +14,9 @@
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
 import org.burdockbay.core.dispatch.DomainLoad;
+import org.burdockbay.core.shard.ShardAssignment;
 import org.burdockbay.core.shard.ShardId;
 import org.burdockbay.core.shard.ShardLayout;
-import org.burdockbay.core.shard.ShardMatch;
 
 /**
  * Liveness of the hosts by heartbeat, and the dispatcher roles of this host's group.
@@ -32,32 +32,32 @@
 public final class Membership {
 
   /** Silence after which a host counts as lost, in milliseconds. */
-  public static final long LOST_MILLIS = 2_000;
+  public static final long SILENCE_TIMEOUT_MILLIS = 2_000;
 
   /**
    * For how long a shard without a dispatcher keeps its upstreams, in milliseconds: an ordinary
    * takeover is over by then, and moving them to other shards and back would cost two rebuilds.
    */
-  static final long VACANCY_MILLIS = 2_000;
+  static final long VACANCY_GRACE_MILLIS = 2_000;
 
   /**
    * The same for shards of a failure domain of which no host is heard, in milliseconds: longer than
    * most partitions. The domain's own dispatchers go on behind one, and would be outbid by others
    * that reach none of its upstreams.
    */
-  static final long LOST_DOMAIN_MILLIS = 20_000;
+  static final long LOST_DOMAIN_GRACE_MILLIS = 20_000;
 
   /** By how many rounds an unknown higher claim is outbid: clocks may differ by some seconds. */
-  private static final long OUTRANK_ROUNDS = 10;
+  private static final long SUPERSEDE_ROUNDS = 10;
 
   /**
    * How many times more rounds each further claim is worth that was never obeyed. Such a claim is
    * below one that nobody remembers, however far, and each refusal costs seconds without service.
    */
-  private static final long OUTRANK_GROWTH = 8;
+  private static final long SUPERSEDE_GROWTH_FACTOR = 8;
 
   /** The most rounds at once: hosts that are refused for weeks must not run out of epochs. */
-  private static final long MOST_OUTRANK_ROUNDS = 640;
+  private static final long MAX_SUPERSEDE_ROUNDS = 640;
 
   /**
    * A host that finds the others by itself, and hasn't heard all that it was told of, claims
@@ -66,44 +66,45 @@
    * longer than that, and a claim of a host that knows no upstream replaces a dispatcher that
    * serves.
    */
-  private static final long SETTLE_LOSSES = 2;
+  private static final long SETTLE_TIMEOUT_MULTIPLE = 2;
 
   /**
    * The same in a divided fleet, where a shard that looks vacant may belong to any one of many
    * hosts, and a host that has just started takes longer to hear all of them.
    */
-  private static final long DIVIDED_SETTLE_LOSSES = 6;
+  private static final long DIVIDED_SETTLE_TIMEOUT_MULTIPLE = 6;
 
   /**
    * Time without news of further hosts, in milliseconds, after which a host that has heard every
    * host that it was told of may claim sooner: a host that is up connects again within 200 ms, and
    * what it knows is passed on at once.
    */
-  private static final long NO_NEWS_MILLIS = 250;
+  private static final long DISCOVERY_IDLE_MILLIS = 250;
 
   /** A host that hears nobody at all waits longer, for its connections to come up. */
-  private static final long ALONE_LOSSES = 6;
+  private static final long NO_CONTACT_TIMEOUT_MULTIPLE = 6;
 
   private final String self;
   private final String domain;
   private final String failureDomain;
   private final Map<String, String> domainByHost;
-  private final MembershipTerms terms;
-  private final boolean fixedHosts;
+  private final MembershipOptions options;
+  private final boolean hasFixedHosts;
   private long startedAt;
-  private OptionalLong firstHeardAt = OptionalLong.empty();
+  private OptionalLong firstContactAt = OptionalLong.empty();
 
   /** The hosts that were heard since the start. */
-  private final Set<String> found = new HashSet<>();
+  private final Set<String> contactedHosts = new HashSet<>();
 
-  private long newsAt;
-  private final TreeMap<String, Heard> heard = new TreeMap<>();
-  private final Vacancies vacancies = new Vacancies(VACANCY_MILLIS, LOST_DOMAIN_MILLIS);
+  private long lastDiscoveryAt;
+  private final TreeMap<String, Contact> lastContacts = new TreeMap<>();
+  private final ShardVacancies vacancies =
+      new ShardVacancies(VACANCY_GRACE_MILLIS, LOST_DOMAIN_GRACE_MILLIS);
   private ShardLayout layout = ShardLayout.UNDIVIDED;
   private long claimedEpoch;
   private ShardId claimedShard = ShardId.WHOLE_FLEET;
   private long highestEpoch;
-  private long outrankRounds = OUTRANK_ROUNDS;
+  private long supersedeRounds = SUPERSEDE_ROUNDS;
   private boolean draining;
   private boolean settled;
   private RouteView routes;
@@ -116,14 +117,14 @@
    * @param now the time of the start, in milliseconds
    */
   public Membership(String self, Map<String, String> domainByHost, long now) {
-    this(self, domainByHost, "", terms(self, domainByHost), true, now);
+    this(self, domainByHost, "", listedHostOptions(self, domainByHost), true, now);
   }
 
   private Membership(
       String self,
       Map<String, String> domainByHost,
       String failureDomain,
-      MembershipTerms terms,
+      MembershipOptions terms,
       boolean fixedHosts,
       long now) {
     if (!domainByHost.containsKey(self)) {
@@ -133,52 +134,54 @@
     this.domainByHost = new HashMap<>(domainByHost);
     this.domain = domainByHost.get(self);
     this.failureDomain = failureDomain;
-    this.terms = terms;
-    this.fixedHosts = fixedHosts;
+    this.options = terms;
+    this.hasFixedHosts = fixedHosts;
     this.startedAt = now;
-    this.newsAt = now;
+    this.lastDiscoveryAt = now;
     this.routes = RouteView.empty(domain);
   }
 
   /**
-   * Creates the membership of a host that knows only itself; {@link #admit} adds the others.
+   * Creates the membership of a host that knows only itself; {@link #addHost} adds the others.
    *
    * @param self the id of this host
    * @param domain the hosts with the same value elect one dispatcher among them
    * @param now the time of the start, in milliseconds
    */
-  public static Membership growing(String self, String domain, MembershipTerms terms, long now) {
-    return growing(new HostCard(self, domain, "", ""), terms, now);
+  public static Membership withDiscovery(
+      String self, String domain, MembershipOptions terms, long now) {
+    return withDiscovery(new HostDescriptor(self, domain, "", ""), terms, now);
   }
 
   /**
-   * Creates the membership of a host that knows only itself; {@link #admit} adds the others.
+   * Creates the membership of a host that knows only itself; {@link #addHost} adds the others.
    *
    * @param now the time of the start, in milliseconds
    */
-  public static Membership growing(HostCard self, MembershipTerms terms, long now) {
+  public static Membership withDiscovery(HostDescriptor self, MembershipOptions terms, long now) {
     return new Membership(
         self.id(), Map.of(self.id(), self.group()), self.domain(), terms, false, now);
   }
 
-  private static MembershipTerms terms(String self, Map<String, String> domainByHost) {
+  private static MembershipOptions listedHostOptions(
+      String self, Map<String, String> domainByHost) {
     int index = new TreeSet<>(domainByHost.keySet()).headSet(self).size();
-    return MembershipTerms.ofListedHost(index);
+    return MembershipOptions.ofListedHost(index);
   }
 
   /** Takes an epoch into account that an earlier life of this host has seen. */
-  public void recall(long epoch) {
+  public void restore(long epoch) {
     observeEpoch(epoch);
   }
 
   /** Takes a layout into account that an earlier life of this host has known. */
-  public void recall(ShardLayout known) {
-    layout = layout.or(known);
+  public void restore(ShardLayout known) {
+    layout = layout.larger(known);
   }
 
   /** Divides the fleet at least as far as suits the upstreams that this host knows of. */
-  public List<MembershipEffect> suits(ShardLayout suited, long now) {
-    List<MembershipEffect> effects = adopt(suited);
+  public List<MembershipEffect> growLayout(ShardLayout suited, long now) {
+    List<MembershipEffect> effects = mergeLayout(suited);
     if (!effects.isEmpty()) {
       effects.addAll(elect(now));
     }
@@ -186,9 +189,9 @@
   }
 
   /** Takes a host into account from now on. */
-  public void admit(String host, String hostDomain, long now) {
+  public void addHost(String host, String hostDomain, long now) {
     if (domainByHost.put(host, hostDomain) == null) {
-      newsAt = now;
+      lastDiscoveryAt = now;
     }
   }
 
@@ -198,32 +201,32 @@
     if (!status.domain().equals(domainByHost.get(status.host())) || status.host().equals(self)) {
       return effects;
     }
-    Heard before = heard.get(status.host());
+    Contact before = lastContacts.get(status.host());
     if (before != null && before.status.incarnation() > status.incarnation()) {
       // A heartbeat that an earlier run of the process left in flight.
       return effects;
     }
-    heard.put(status.host(), new Heard(status, now));
-    if (found.add(status.host())) {
-      newsAt = now;
+    lastContacts.put(status.host(), new Contact(status, now));
+    if (contactedHosts.add(status.host())) {
+      lastDiscoveryAt = now;
     }
-    if (before != null && before.status.equalsButLoad(status) && decided()) {
+    if (before != null && before.status.equalsIgnoringLoad(status) && isStable()) {
       // Most heartbeats tell nothing new; deciding anew took a third of an idle host's time.
       return effects;
     }
-    if (firstHeardAt.isEmpty()) {
-      firstHeardAt = OptionalLong.of(now);
+    if (firstContactAt.isEmpty()) {
+      firstContactAt = OptionalLong.of(now);
     }
     if (before == null) {
       effects.add(new MembershipEffect.HostFound(status.host()));
     }
-    if (status.domain().equals(domain) || !fixedHosts) {
+    if (status.domain().equals(domain) || !hasFixedHosts) {
       // Hosts that find each other have one dispatcher, and also those that never dispatch tell
       // of its epoch: they have disks, and remember it when all others were killed.
       observeEpoch(Math.max(status.highestEpoch(), status.dispatcherEpoch()));
     }
-    if (!fixedHosts) {
-      effects.addAll(adopt(status.layout()));
+    if (!hasFixedHosts) {
+      effects.addAll(mergeLayout(status.layout()));
     }
     effects.addAll(elect(now));
     return effects;
@@ -233,29 +236,29 @@
   public List<MembershipEffect> tick(long now) {
     List<MembershipEffect> effects = new ArrayList<>();
     List<String> lost = new ArrayList<>();
-    heard.forEach(
+    lastContacts.forEach(
         (host, last) -> {
-          if (now - last.at > terms.lostMillis()) {
+          if (now - last.receivedAt > options.silenceTimeoutMillis()) {
             lost.add(host);
           }
         });
     for (String host : lost) {
-      heard.remove(host);
+      lastContacts.remove(host);
       effects.add(new MembershipEffect.HostLost(host));
     }
-    if (!lost.isEmpty() || !decided()) {
+    if (!lost.isEmpty() || !isStable()) {
       effects.addAll(elect(now));
     }
     return effects;
   }
 
   /** Returns whether nothing changes in this host's view as long as nobody else changes. */
-  private boolean decided() {
+  private boolean isStable() {
     boolean nothingToClaim =
         claimedEpoch != 0
-            || !terms.mayDispatch()
+            || !options.mayDispatch()
             || routes.shards().keySet().containsAll(layout.shards(failureDomain));
-    return settled && !draining && !vacancies.pending() && nothingToClaim;
+    return settled && !draining && !vacancies.hasPending() && nothingToClaim;
   }
 
   /** Notes that this host is stopping: it hands the role over as soon as there is a successor. */
@@ -265,7 +268,7 @@
   }
 
   /** Gives the role up because a runner or the ledger has seen a higher epoch. */
-  public List<MembershipEffect> fenced(long epoch, long now) {
+  public List<MembershipEffect> handleHigherEpoch(long epoch, long now) {
     observeEpoch(epoch);
     List<MembershipEffect> effects = new ArrayList<>();
     if (claimedEpoch != 0 && epoch > claimedEpoch) {
@@ -286,15 +289,15 @@
    * @param epoch the claim that proved too low; another one is left as it is
    * @param obeyedBefore whether the claim was obeyed at first, so that a rival has outbid it since
    */
-  public List<MembershipEffect> outranked(long epoch, boolean obeyedBefore, long now) {
+  public List<MembershipEffect> handleSupersededClaim(long epoch, boolean obeyedBefore, long now) {
     if (epoch != claimedEpoch) {
       return List.of();
     }
-    long rounds = obeyedBefore ? OUTRANK_ROUNDS : outrankRounds;
-    outrankRounds = Math.min(rounds * OUTRANK_GROWTH, MOST_OUTRANK_ROUNDS);
-    long higher = epoch + (rounds << terms.hostBits());
+    long rounds = obeyedBefore ? SUPERSEDE_ROUNDS : supersedeRounds;
+    supersedeRounds = Math.min(rounds * SUPERSEDE_GROWTH_FACTOR, MAX_SUPERSEDE_ROUNDS);
+    long higher = epoch + (rounds << options.hostNumberBits());
     if (layout.undivided() || draining) {
-      return fenced(higher, now);
+      return handleHigherEpoch(higher, now);
     }
     observeEpoch(higher);
     List<MembershipEffect> effects = new ArrayList<>();
@@ -309,10 +312,10 @@
    *
    * <p>A claim is given up, and none is made until others would have been heard of again.
    */
-  public List<MembershipEffect> startOver(long now) {
+  public List<MembershipEffect> reset(long now) {
     startedAt = now;
-    firstHeardAt = OptionalLong.empty();
-    found.clear();
+    firstContactAt = OptionalLong.empty();
+    contactedHosts.clear();
     List<MembershipEffect> effects = new ArrayList<>();
     if (claimedEpoch != 0) {
       claimedEpoch = 0;
@@ -323,13 +326,13 @@
   }
 
   /** Returns the last status of every live host but this one. */
-  public Collection<HostStatus> live() {
-    return heard.values().stream().map(last -> last.status).toList();
+  public Collection<HostStatus> liveHosts() {
+    return lastContacts.values().stream().map(last -> last.status).toList();
   }
 
   /** Returns the last status of a live host. */
   public Optional<HostStatus> status(String host) {
-    return Optional.ofNullable(heard.get(host)).map(last -> last.status);
+    return Optional.ofNullable(lastContacts.get(host)).map(last -> last.status);
   }
 
   /** Returns the load that a live host told last. */
@@ -363,7 +366,7 @@
   }
 
   /** Returns whether this host is stopping. */
-  public boolean draining() {
+  public boolean isDraining() {
     return draining;
   }
 
@@ -371,9 +374,9 @@
     highestEpoch = Math.max(highestEpoch, epoch);
   }
 
-  private List<MembershipEffect> adopt(ShardLayout heardOf) {
+  private List<MembershipEffect> mergeLayout(ShardLayout heardOf) {
     List<MembershipEffect> effects = new ArrayList<>();
-    ShardLayout larger = layout.or(heardOf);
+    ShardLayout larger = layout.larger(heardOf);
     if (!larger.equals(layout)) {
       effects.add(new MembershipEffect.LayoutChanged(layout, larger));
       layout = larger;
@@ -384,17 +387,18 @@
 
   private List<MembershipEffect> elect(long now) {
     List<MembershipEffect> effects = new ArrayList<>();
-    if (claimedEpoch != 0 && (!layout.has(claimedShard) || outbid() || handsOver())) {
+    if (claimedEpoch != 0
+        && (!layout.contains(claimedShard) || isSuperseded() || shouldHandOver())) {
       claimedEpoch = 0;
       effects.add(new MembershipEffect.Yield());
     }
-    if (mayClaim() && heardLongEnough(now)) {
-      firstInLineFor().ifPresent(shard -> effects.add(claim(shard, now)));
+    if (mayClaim() && hasSettleTimeElapsed(now)) {
+      shardToClaim().ifPresent(shard -> effects.add(claim(shard, now)));
     }
-    RouteView next = view(now);
+    RouteView next = buildRoutes(now);
     if (!next.equals(routes)) {
       routes = next;
-      effects.add(new MembershipEffect.Routes(next));
+      effects.add(new MembershipEffect.RoutesChanged(next));
     }
     return effects;
   }
@@ -407,12 +411,12 @@
   }
 
   private boolean mayClaim() {
-    return claimedEpoch == 0 && !draining && terms.mayDispatch();
+    return claimedEpoch == 0 && !draining && options.mayDispatch();
   }
 
-  private boolean outbid() {
+  private boolean isSuperseded() {
     return groupHosts()
-        .filter(status -> claims(status) && status.shard().equals(claimedShard))
+        .filter(status -> hasClaim(status) && status.shard().equals(claimedShard))
         .anyMatch(status -> status.dispatcherEpoch() > claimedEpoch);
   }
 
@@ -423,126 +427,133 @@
    * here. In a divided fleet the dispatchers of other shards take the upstreams of one that has no
    * successor.
    */
-  private boolean handsOver() {
+  private boolean shouldHandOver() {
     if (!draining) {
       return false;
     }
     if (layout.undivided()) {
       return groupHosts().anyMatch(status -> !status.draining());
     }
-    return groupHosts().anyMatch(status -> claims(status) || free(status, failureDomain));
+    return groupHosts().anyMatch(status -> hasClaim(status) || isAvailable(status, failureDomain));
   }
 
   private Stream<HostStatus> groupHosts() {
-    return heard.values().stream()
+    return lastContacts.values().stream()
         .map(last -> last.status)
         .filter(status -> status.domain().equals(domain));
   }
 
   /** Returns whether a host has a role of the present layout; one of a smaller layout is over. */
-  private boolean claims(HostStatus status) {
-    return status.dispatcherEpoch() != 0 && layout.has(status.shard());
+  private boolean hasClaim(HostStatus status) {
+    return status.dispatcherEpoch() != 0 && layout.contains(status.shard());
   }
 
-  private boolean free(HostStatus status, String hostsDomain) {
-    return status.failureDomain().equals(hostsDomain) && !status.draining() && !claims(status);
+  private boolean isAvailable(HostStatus status, String hostsDomain) {
+    return status.failureDomain().equals(hostsDomain) && !status.draining() && !hasClaim(status);
   }
 
-  private Optional<ShardId> firstInLineFor() {
+  private Optional<ShardId> shardToClaim() {
     if (layout.undivided()) {
       boolean first =
           groupHosts()
               .noneMatch(
                   status ->
-                      claims(status) || (!status.draining() && status.host().compareTo(self) < 0));
+                      hasClaim(status)
+                          || (!status.draining() && status.host().compareTo(self) < 0));
       return first ? Optional.of(ShardId.WHOLE_FLEET) : Optional.empty();
     }
-    return match(failureDomain).entrySet().stream()
+    return matchVacantShards(failureDomain).entrySet().stream()
         .filter(entry -> entry.getValue().equals(self))
         .map(Map.Entry::getKey)
         .findFirst();
   }
 
   /** Returns who is first in line for the vacant shards of a failure domain. */
-  private Map<ShardId, String> match(String hostsDomain) {
+  private Map<ShardId, String> matchVacantShards(String hostsDomain) {
     Set<ShardId> vacant = new HashSet<>(layout.shards(hostsDomain));
     vacant.removeAll(dispatchersByShard().keySet());
     Set<String> free =
         groupHosts()
-            .filter(status -> free(status, hostsDomain))
+            .filter(status -> isAvailable(status, hostsDomain))
             .map(HostStatus::host)
             .collect(Collectors.toCollection(HashSet::new));
     if (mayClaim() && failureDomain.equals(hostsDomain)) {
       free.add(self);
     }
-    return ShardMatch.of(vacant, free);
+    return ShardAssignment.of(vacant, free);
   }
 
-  private Map<ShardId, RouteView.Dispatching> dispatchersByShard() {
-    Map<ShardId, RouteView.Dispatching> dispatchers = new HashMap<>();
+  private Map<ShardId, RouteView.ActiveDispatcher> dispatchersByShard() {
+    Map<ShardId, RouteView.ActiveDispatcher> dispatchers = new HashMap<>();
     groupHosts()
-        .filter(this::claims)
+        .filter(this::hasClaim)
         .forEach(
-            status -> dispatchers.merge(status.shard(), dispatching(status), Membership::higher));
+            status ->
+                dispatchers.merge(
+                    status.shard(), toActiveDispatcher(status), Membership::withHigherEpoch));
     if (claimedEpoch != 0) {
-      dispatchers.put(claimedShard, new RouteView.Dispatching(self, claimedEpoch, draining));
+      dispatchers.put(claimedShard, new RouteView.ActiveDispatcher(self, claimedEpoch, draining));
     }
     return dispatchers;
   }
 
-  private static RouteView.Dispatching dispatching(HostStatus status) {
-    return new RouteView.Dispatching(status.host(), status.dispatcherEpoch(), status.draining());
+  private static RouteView.ActiveDispatcher toActiveDispatcher(HostStatus status) {
+    return new RouteView.ActiveDispatcher(
+        status.host(), status.dispatcherEpoch(), status.draining());
   }
 
-  private static RouteView.Dispatching higher(RouteView.Dispatching a, RouteView.Dispatching b) {
+  private static RouteView.ActiveDispatcher withHigherEpoch(
+      RouteView.ActiveDispatcher a, RouteView.ActiveDispatcher b) {
     return a.epoch() > b.epoch() ? a : b;
   }
 
   /** Returns whether a dispatcher of this domain would have been heard of by now. */
-  private boolean heardLongEnough(long now) {
+  private boolean hasSettleTimeElapsed(long now) {
     long domainHosts = domainByHost.values().stream().filter(domain::equals).count();
-    long live = heard.values().stream().filter(h -> h.status.domain().equals(domain)).count() + 1;
-    if (fixedHosts) {
-      return now - startedAt > terms.lostMillis() || live == domainHosts;
+    long live =
+        lastContacts.values().stream().filter(h -> h.status.domain().equals(domain)).count() + 1;
+    if (hasFixedHosts) {
+      return now - startedAt > options.silenceTimeoutMillis() || live == domainHosts;
     }
-    if (firstHeardAt.isEmpty()) {
-      return now - startedAt > ALONE_LOSSES * terms.lostMillis();
+    if (firstContactAt.isEmpty()) {
+      return now - startedAt > NO_CONTACT_TIMEOUT_MULTIPLE * options.silenceTimeoutMillis();
     }
-    boolean complete = heardAllKnown() && now - newsAt > NO_NEWS_MILLIS;
-    long losses = layout.undivided() ? SETTLE_LOSSES : DIVIDED_SETTLE_LOSSES;
-    return complete || now - firstHeardAt.getAsLong() > losses * terms.lostMillis();
+    boolean complete = hasContactedAllHosts() && now - lastDiscoveryAt > DISCOVERY_IDLE_MILLIS;
+    long losses = layout.undivided() ? SETTLE_TIMEOUT_MULTIPLE : DIVIDED_SETTLE_TIMEOUT_MULTIPLE;
+    return complete || now - firstContactAt.getAsLong() > losses * options.silenceTimeoutMillis();
   }
 
-  private boolean heardAllKnown() {
-    return found.size() == domainByHost.size() - 1;
+  private boolean hasContactedAllHosts() {
+    return contactedHosts.size() == domainByHost.size() - 1;
   }
 
   /** Returns an epoch above all that were seen; the host's number makes it unlike any other's. */
   private long nextEpoch(long now) {
-    long round = Math.max(highestEpoch >> terms.hostBits(), terms.round(now)) + 1;
-    return (round << terms.hostBits()) | terms.hostNumber();
+    long round = Math.max(highestEpoch >> options.hostNumberBits(), options.roundAt(now)) + 1;
+    return (round << options.hostNumberBits()) | options.hostNumber();
   }
 
-  private RouteView view(long now) {
-    Map<String, RouteView.Dispatching> dispatchers = new HashMap<>();
-    for (Heard last : heard.values()) {
-      if (claims(last.status)) {
-        dispatchers.merge(last.status.domain(), dispatching(last.status), Membership::higher);
+  private RouteView buildRoutes(long now) {
+    Map<String, RouteView.ActiveDispatcher> dispatchers = new HashMap<>();
+    for (Contact last : lastContacts.values()) {
+      if (hasClaim(last.status)) {
+        dispatchers.merge(
+            last.status.domain(), toActiveDispatcher(last.status), Membership::withHigherEpoch);
       }
     }
     if (claimedEpoch != 0) {
-      dispatchers.put(domain, new RouteView.Dispatching(self, claimedEpoch, draining));
+      dispatchers.put(domain, new RouteView.ActiveDispatcher(self, claimedEpoch, draining));
     }
     Set<String> openDomains = new HashSet<>();
-    heard.values().stream()
+    lastContacts.values().stream()
         .filter(last -> !last.status.draining())
         .forEach(last -> openDomains.add(last.status.domain()));
     if (!draining) {
       openDomains.add(domain);
     }
     boolean allHeard = openDomains.containsAll(domainByHost.values());
-    settled |= allHeard || now - startedAt > terms.lostMillis();
-    Map<ShardId, RouteView.Dispatching> shards = dispatchersByShard();
+    settled |= allHeard || now - startedAt > options.silenceTimeoutMillis();
+    Map<ShardId, RouteView.ActiveDispatcher> shards = dispatchersByShard();
     return new RouteView(
         domain, dispatchers, openDomains, settled, shards, liveShards(shards.keySet(), now));
   }
@@ -556,11 +567,11 @@
     hostDomains.add(failureDomain);
     Set<ShardId> awaited =
         hostDomains.stream()
-            .flatMap(hostDomain -> match(hostDomain).keySet().stream())
+            .flatMap(hostDomain -> matchVacantShards(hostDomain).keySet().stream())
             .collect(Collectors.toSet());
-    return vacancies.live(
-        claimed, terms.mayDispatch() ? awaited : Set.of(), hostDomains::contains, now);
+    return vacancies.liveShards(
+        claimed, options.mayDispatch() ? awaited : Set.of(), hostDomains::contains, now);
   }
 
-  private record Heard(HostStatus status, long at) {}
+  private record Contact(HostStatus status, long receivedAt) {}
 }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/membership/MembershipEffect.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/membership/MembershipEffect.java
@@ -13,10 +13,10 @@
   record Yield() implements MembershipEffect {}
 
   /** Who dispatches where has changed. */
-  record Routes(RouteView view) implements MembershipEffect {}
+  record RoutesChanged(RouteView view) implements MembershipEffect {}
 
   /** The fleet is divided into more shards than before. */
-  record LayoutChanged(ShardLayout before, ShardLayout now) implements MembershipEffect {}
+  record LayoutChanged(ShardLayout previous, ShardLayout current) implements MembershipEffect {}
 
   /** A host is no longer heard of. */
   record HostLost(String host) implements MembershipEffect {}
--- a/burdockbay-core/src/main/java/org/burdockbay/core/membership/MembershipTerms.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/membership/MembershipOptions.java
@@ -7,37 +7,38 @@
  * no two hosts ever claim the same one. The round follows the time, so that a host that starts
  * without any memory claims above what upstreams have seen before.
  *
- * @param lostMillis silence after which a host counts as lost, in milliseconds
+ * @param silenceTimeoutMillis silence after which a host counts as lost, in milliseconds
  * @param mayDispatch whether this host may claim the dispatcher role
- * @param hostBits number of bits of a host number
+ * @param hostNumberBits number of bits of a host number
  * @param hostNumber the number of this host, unlike any other's
  * @param roundMillis time for the round to rise by one, in milliseconds
- * @param firstRoundMillis the time of round 0, in milliseconds since 1970
+ * @param firstRoundAt the time of round 0, in milliseconds since 1970
  */
-public record MembershipTerms(
-    long lostMillis,
+public record MembershipOptions(
+    long silenceTimeoutMillis,
     boolean mayDispatch,
-    int hostBits,
+    int hostNumberBits,
     long hostNumber,
     long roundMillis,
-    long firstRoundMillis) {
+    long firstRoundAt) {
 
   private static final int ADDRESS_BITS = 24;
   private static final long MILLIS_PER_SECOND = 1_000;
 
   /** 2025-01-01; epochs in JSON have 53 bits, 29 of them for seconds since then. */
-  private static final long FIRST_ROUND_MILLIS = 1_735_689_600_000L;
+  private static final long FIRST_ROUND_AT = 1_735_689_600_000L;
 
   /** Checks the host number. */
-  public MembershipTerms {
-    if (hostNumber < 0 || hostNumber >> hostBits != 0) {
-      throw new IllegalArgumentException(hostNumber + " doesn't fit into " + hostBits + " bits");
+  public MembershipOptions {
+    if (hostNumber < 0 || hostNumber >> hostNumberBits != 0) {
+      throw new IllegalArgumentException(
+          hostNumber + " doesn't fit into " + hostNumberBits + " bits");
     }
   }
 
   /** Returns the terms of a host in a list that all hosts have in their settings. */
-  static MembershipTerms ofListedHost(int index) {
-    return new MembershipTerms(Membership.LOST_MILLIS, true, 8, index, 1, 0);
+  static MembershipOptions ofListedHost(int index) {
+    return new MembershipOptions(Membership.SILENCE_TIMEOUT_MILLIS, true, 8, index, 1, 0);
   }
 
   /**
@@ -45,17 +46,17 @@
    *
    * @param ipv4 the address in dotted form
    */
-  public static MembershipTerms ofAddress(String ipv4, long lostMillis, boolean mayDispatch) {
+  public static MembershipOptions ofAddress(String ipv4, long lostMillis, boolean mayDispatch) {
     long number = 0;
     for (String part : ipv4.split("\\.", -1)) {
       number = (number << 8 | Long.parseLong(part)) & ((1L << ADDRESS_BITS) - 1);
     }
-    return new MembershipTerms(
-        lostMillis, mayDispatch, ADDRESS_BITS, number, MILLIS_PER_SECOND, FIRST_ROUND_MILLIS);
+    return new MembershipOptions(
+        lostMillis, mayDispatch, ADDRESS_BITS, number, MILLIS_PER_SECOND, FIRST_ROUND_AT);
   }
 
   /** Returns the round of a time, in milliseconds since 1970. */
-  long round(long now) {
-    return Math.max(0, (now - firstRoundMillis) / roundMillis);
+  long roundAt(long now) {
+    return Math.max(0, (now - firstRoundAt) / roundMillis);
   }
 }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/membership/RouteView.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/membership/RouteView.java
@@ -22,10 +22,10 @@
  */
 public record RouteView(
     String domain,
-    Map<String, Dispatching> dispatchers,
+    Map<String, ActiveDispatcher> dispatchers,
     Set<String> openDomains,
     boolean settled,
-    Map<ShardId, Dispatching> shards,
+    Map<ShardId, ActiveDispatcher> shards,
     Set<ShardId> liveShards) {
 
   /** Copies the collections. */
@@ -39,7 +39,7 @@
   /** Creates the view of a fleet that isn't divided. */
   public RouteView(
       String domain,
-      Map<String, Dispatching> dispatchers,
+      Map<String, ActiveDispatcher> dispatchers,
       Set<String> openDomains,
       boolean settled) {
     this(
@@ -47,12 +47,12 @@
         dispatchers,
         openDomains,
         settled,
-        wholeFleet(dispatchers.get(domain)),
+        undividedShards(dispatchers.get(domain)),
         Set.of(ShardId.WHOLE_FLEET));
   }
 
   /** Returns the domains whose dispatcher takes new submissions. */
-  public Set<String> servedDomains() {
+  public Set<String> acceptingDomains() {
     return dispatchers.entrySet().stream()
         .filter(entry -> !entry.getValue().draining())
         .map(Map.Entry::getKey)
@@ -64,12 +64,13 @@
     return new RouteView(domain, Map.of(), Set.of(), false);
   }
 
-  private static Map<ShardId, Dispatching> wholeFleet(@Nullable Dispatching dispatcher) {
+  private static Map<ShardId, ActiveDispatcher> undividedShards(
+      @Nullable ActiveDispatcher dispatcher) {
     return dispatcher == null ? Map.of() : Map.of(ShardId.WHOLE_FLEET, dispatcher);
   }
 
   /** Returns the dispatcher of a domain, if one is known. */
-  public Optional<Dispatching> dispatcher(String name) {
+  public Optional<ActiveDispatcher> dispatcher(String name) {
     return Optional.ofNullable(dispatchers.get(name));
   }
 
@@ -78,5 +79,5 @@
    *
    * @param draining whether it only finishes what it has
    */
-  public record Dispatching(String host, long epoch, boolean draining) {}
+  public record ActiveDispatcher(String host, long epoch, boolean draining) {}
 }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/membership/Vacancies.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/membership/ShardVacancies.java
@@ -8,13 +8,13 @@
 import org.burdockbay.core.shard.ShardId;
 
 /** Since when shards have had no dispatcher. */
-final class Vacancies {
+final class ShardVacancies {
 
   private final long graceMillis;
-  private final long lostDomainMillis;
-  private final Map<ShardId, Long> since = new HashMap<>();
-  private Set<ShardId> claimedBefore = Set.of();
-  private boolean pending;
+  private final long lostDomainGraceMillis;
+  private final Map<ShardId, Long> vacantSince = new HashMap<>();
+  private Set<ShardId> previouslyClaimed = Set.of();
+  private boolean hasPending;
 
   /**
    * Creates the account of a fleet without vacancies.
@@ -23,9 +23,9 @@
    * @param lostDomainMillis the same where no host of its failure domain is heard; its upstreams
    *     are then most likely out of reach as well, or obey a dispatcher behind a partition
    */
-  Vacancies(long graceMillis, long lostDomainMillis) {
+  ShardVacancies(long graceMillis, long lostDomainMillis) {
     this.graceMillis = graceMillis;
-    this.lostDomainMillis = lostDomainMillis;
+    this.lostDomainGraceMillis = lostDomainMillis;
   }
 
   /**
@@ -35,32 +35,33 @@
    * @param awaited the shards for which a host is first in line
    * @param heard tells the failure domains with a live host
    */
-  Set<ShardId> live(Set<ShardId> claimed, Set<ShardId> awaited, Predicate<String> heard, long now) {
-    claimedBefore.forEach(shard -> since.putIfAbsent(shard, now));
-    awaited.forEach(shard -> since.putIfAbsent(shard, now));
-    since.keySet().removeAll(claimed);
-    claimedBefore = Set.copyOf(claimed);
+  Set<ShardId> liveShards(
+      Set<ShardId> claimed, Set<ShardId> awaited, Predicate<String> heard, long now) {
+    previouslyClaimed.forEach(shard -> vacantSince.putIfAbsent(shard, now));
+    awaited.forEach(shard -> vacantSince.putIfAbsent(shard, now));
+    vacantSince.keySet().removeAll(claimed);
+    previouslyClaimed = Set.copyOf(claimed);
     Set<ShardId> live = new HashSet<>(claimed);
-    since.forEach(
+    vacantSince.forEach(
         (shard, at) -> {
-          long grace = heard.test(shard.domain()) ? graceMillis : lostDomainMillis;
+          long grace = heard.test(shard.domain()) ? graceMillis : lostDomainGraceMillis;
           if (now - at <= grace) {
             live.add(shard);
           }
         });
-    pending = live.size() > claimed.size();
+    hasPending = live.size() > claimed.size();
     return live;
   }
 
   /** Returns whether a vacant shard is still to be dropped. */
-  boolean pending() {
-    return pending;
+  boolean hasPending() {
+    return hasPending;
   }
 
   /** Starts over, as the shards are others. */
   void clear() {
-    since.clear();
-    claimedBefore = Set.of();
-    pending = false;
+    vacantSince.clear();
+    previouslyClaimed = Set.of();
+    hasPending = false;
   }
 }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/message/PeerMessage.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/message/PeerMessage.java
@@ -8,8 +8,8 @@
 import org.burdockbay.core.control.ControlCommand;
 import org.burdockbay.core.control.ControlReply;
 import org.burdockbay.core.dispatch.Arrival;
-import org.burdockbay.core.fleet.UpstreamNotice;
-import org.burdockbay.core.membership.HostCard;
+import org.burdockbay.core.fleet.UpstreamAnnouncement;
+import org.burdockbay.core.membership.HostDescriptor;
 import org.burdockbay.core.membership.HostStatus;
 import org.burdockbay.core.submission.JobOutcome;
 import org.burdockbay.core.submission.JobRequest;
@@ -23,10 +23,10 @@
   /**
    * What the sender tells of itself.
    *
-   * @param heardAgoMillis how long ago the sender heard the receiver, in milliseconds; empty if it
-   *     hasn't, or doesn't tell
+   * @param lastContactAgeMillis how long ago the sender heard the receiver, in milliseconds; empty
+   *     if it hasn't, or doesn't tell
    */
-  record Heartbeat(HostStatus status, OptionalLong heardAgoMillis) implements PeerMessage {
+  record Heartbeat(HostStatus status, OptionalLong lastContactAgeMillis) implements PeerMessage {
 
     /** Creates a heartbeat that doesn't tell when the receiver was heard. */
     public Heartbeat(HostStatus status) {
@@ -44,7 +44,7 @@
   record Proposed(long requestId, ControlReply reply) implements PeerMessage {}
 
   /** Asks for the configuration if the receiver has a newer version. */
-  record FetchConfiguration(long haveVersion) implements PeerMessage {}
+  record FetchConfiguration(long knownVersion) implements PeerMessage {}
 
   /** A version of the configuration that is in force at the sender. */
   record ConfigurationText(long version, String text) implements PeerMessage {}
@@ -83,9 +83,11 @@
    * @param token the token under which the sender takes the receiver for the dispatcher
    * @param ticket the sender's number for the caller's request; the same in each repetition
    * @param ageMillis how long ago the caller's request arrived
-   * @param quietMillis for how long no task may start, as an earlier dispatcher may still run some
+   * @param quietPeriodMillis for how long no task may start, as an earlier dispatcher may still run
+   *     some
    */
-  record SubmitWork(long token, long ticket, WorkRequest request, long ageMillis, long quietMillis)
+  record SubmitWork(
+      long token, long ticket, WorkRequest request, long ageMillis, long quietPeriodMillis)
       implements PeerMessage {}
 
   /**
@@ -99,7 +101,7 @@
   record ReportWork(String workId, WorkOutcome outcome) implements PeerMessage {}
 
   /** Passes on what upstreams have said of themselves. */
-  record UpstreamNews(List<Announced> announced, List<UpstreamNotice> departed)
+  record UpstreamNews(List<Announced> announced, List<UpstreamAnnouncement> departed)
       implements PeerMessage {
 
     /** Copies the lists. */
@@ -109,11 +111,11 @@
     }
 
     /** An announcement with its age in milliseconds. */
-    public record Announced(UpstreamNotice notice, long ageMillis) {}
+    public record Announced(UpstreamAnnouncement notice, long ageMillis) {}
   }
 
   /** The hosts that the sender knows of, itself first. */
-  record KnownHosts(List<HostCard> hosts) implements PeerMessage {
+  record KnownHosts(List<HostDescriptor> hosts) implements PeerMessage {
 
     /** Copies the list. */
     public KnownHosts {
--- a/burdockbay-core/src/main/java/org/burdockbay/core/shard/Rendezvous.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/shard/RendezvousHash.java
@@ -1,12 +1,12 @@
 package org.burdockbay.core.shard;
 
 /** The weights of rendezvous hashing; the same on every host. */
-final class Rendezvous {
+final class RendezvousHash {
 
   private static final long HASH_SEED = 0x9E3779B97F4A7C15L;
   private static final long HASH_PRIME = 0x100000001B3L;
 
-  private Rendezvous() {}
+  private RendezvousHash() {}
 
   /** Mixes key and shard (FNV-1a, then the finalizer of SplitMix64). */
   static long weight(String key, ShardId shard) {
--- a/burdockbay-core/src/main/java/org/burdockbay/core/shard/ShardMatch.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/shard/ShardAssignment.java
@@ -13,9 +13,9 @@
  * So a pair that goes, because its host has claimed its shard, changes none of the others, and all
  * shards are claimed in one round.
  */
-public final class ShardMatch {
+public final class ShardAssignment {
 
-  private ShardMatch() {}
+  private ShardAssignment() {}
 
   /**
    * Returns the host for each shard; the last shards get none where there are too few hosts.
@@ -28,7 +28,7 @@
     Map<ShardId, String> match = new LinkedHashMap<>();
     for (ShardId shard : new TreeSet<>(vacant)) {
       left.stream()
-          .max(Comparator.comparingLong(host -> Rendezvous.weight(host, shard)))
+          .max(Comparator.comparingLong(host -> RendezvousHash.weight(host, shard)))
           .ifPresent(
               host -> {
                 left.remove(host);
--- a/burdockbay-core/src/main/java/org/burdockbay/core/shard/ShardLayout.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/shard/ShardLayout.java
@@ -17,7 +17,7 @@
   public static final ShardLayout UNDIVIDED = new ShardLayout(0);
 
   /** A fleet up to this number of upstreams has one dispatcher, whose pool serves bursts best. */
-  private static final int LARGEST_UNDIVIDED = 64;
+  private static final int MAX_UNDIVIDED_UPSTREAMS = 64;
 
   /** The number of upstreams that a shard is meant to have. */
   private static final int UPSTREAMS_PER_SHARD = 24;
@@ -36,7 +36,7 @@
    * @param domains the number of failure domains that they are in
    */
   public static ShardLayout of(int upstreams, int domains) {
-    if (upstreams <= LARGEST_UNDIVIDED || domains == 0) {
+    if (upstreams <= MAX_UNDIVIDED_UPSTREAMS || domains == 0) {
       return UNDIVIDED;
     }
     return new ShardLayout(Math.ceilDiv(upstreams, domains * UPSTREAMS_PER_SHARD));
@@ -48,12 +48,12 @@
   }
 
   /** Returns the larger one of two layouts. */
-  public ShardLayout or(ShardLayout other) {
+  public ShardLayout larger(ShardLayout other) {
     return shardsPerDomain >= other.shardsPerDomain ? this : other;
   }
 
   /** Returns whether a shard is part of this layout. */
-  public boolean has(ShardId shard) {
+  public boolean contains(ShardId shard) {
     boolean whole = shard.equals(ShardId.WHOLE_FLEET);
     return undivided() ? whole : !whole && shard.index() < shardsPerDomain;
   }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/shard/ShardMap.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/shard/ShardMap.java
@@ -32,20 +32,20 @@
   /** Returns the shard that owns an upstream of a failure domain; empty if there are no shards. */
   public Optional<ShardId> owner(String upstream, String domain) {
     List<ShardId> near = shards.stream().filter(shard -> shard.domain().equals(domain)).toList();
-    return highest(upstream, near.isEmpty() ? shards : near);
+    return withHighestWeight(upstream, near.isEmpty() ? shards : near);
   }
 
   /** Returns the shards in the order in which they are to be tried for a key, best first. */
-  public List<ShardId> preference(String key) {
+  public List<ShardId> preferenceOrder(String key) {
     return shards.stream().sorted(byWeight(key).reversed()).toList();
   }
 
-  private static Optional<ShardId> highest(String key, List<ShardId> candidates) {
+  private static Optional<ShardId> withHighestWeight(String key, List<ShardId> candidates) {
     return candidates.stream().max(byWeight(key));
   }
 
   private static Comparator<ShardId> byWeight(String key) {
-    return Comparator.<ShardId>comparingLong(shard -> Rendezvous.weight(key, shard))
+    return Comparator.<ShardId>comparingLong(shard -> RendezvousHash.weight(key, shard))
         .thenComparing(Comparator.naturalOrder());
   }
 }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/statechart/StateChart.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/statechart/StateChart.java
@@ -16,7 +16,7 @@
  *
  * <p>A line is {@code source -- event --> target}; {@code initial NAME} names the first state, and
  * a line that starts with {@code #} is a comment. An event without a transition from the current
- * state is a late or crossed one, and {@link #next} tells so by an empty result.
+ * state is a late or crossed one, and {@link #nextState} tells so by an empty result.
  */
 public final class StateChart {
 
@@ -24,11 +24,11 @@
       Pattern.compile("([a-z-]+)\\s+--\\s+([a-z-]+)\\s+-->\\s+([a-z-]+)");
   private static final Pattern INITIAL = Pattern.compile("initial\\s+([a-z-]+)");
 
-  private final String initial;
-  private final Map<Step, String> transitions;
+  private final String initialState;
+  private final Map<StateAndEvent, String> transitions;
 
-  private StateChart(String initial, Map<Step, String> transitions) {
-    this.initial = initial;
+  private StateChart(String initial, Map<StateAndEvent, String> transitions) {
+    this.initialState = initial;
     this.transitions = Map.copyOf(transitions);
   }
 
@@ -55,7 +55,7 @@
    */
   public static StateChart parse(String file, String text) throws StateChartException {
     String initial = null;
-    Map<Step, String> transitions = new HashMap<>();
+    Map<StateAndEvent, String> transitions = new HashMap<>();
     int lineNumber = 0;
     for (String raw : text.split("\n", -1)) {
       lineNumber++;
@@ -70,7 +70,7 @@
       } else if (!transition.matches()) {
         throw new StateChartException(file + ":" + lineNumber + ": not a transition: " + line);
       } else {
-        Step step = new Step(transition.group(1), transition.group(2));
+        StateAndEvent step = new StateAndEvent(transition.group(1), transition.group(2));
         if (transitions.put(step, transition.group(3)) != null) {
           throw new StateChartException(file + ":" + lineNumber + ": given twice: " + line);
         }
@@ -83,19 +83,19 @@
   }
 
   /** Returns the state in which an instance starts. */
-  public String initial() {
-    return initial;
+  public String initialState() {
+    return initialState;
   }
 
   /** Returns the state after the event, or empty if the event does nothing in this state. */
-  public Optional<String> next(String state, String event) {
-    return Optional.ofNullable(transitions.get(new Step(state, event)));
+  public Optional<String> nextState(String state, String event) {
+    return Optional.ofNullable(transitions.get(new StateAndEvent(state, event)));
   }
 
   /** Returns all states that the chart names. */
   public Set<String> states() {
     Set<String> states = new LinkedHashSet<>();
-    states.add(initial);
+    states.add(initialState);
     transitions.forEach(
         (step, target) -> {
           states.add(step.state());
@@ -104,5 +104,5 @@
     return states;
   }
 
-  private record Step(String state, String event) {}
+  private record StateAndEvent(String state, String event) {}
 }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/submission/AttemptId.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/submission/AttemptId.java
@@ -11,28 +11,28 @@
  * new dispatcher that finds an attempt of the same key must not take the answer to other content.
  *
  * @param key the submission
- * @param content first characters of the digest of the content
+ * @param contentTag first characters of the digest of the content
  * @param task index of the task in its job, from 0
  * @param attempt number of the attempt, from 1
  */
-public record AttemptId(SubmissionKey key, String content, int task, int attempt) {
+public record AttemptId(SubmissionKey key, String contentTag, int task, int attempt) {
 
-  private static final int CONTENT_CHARACTERS = 16;
-  private static final Pattern TEXT = Pattern.compile("([^/]+)/(.+)/([^/]+)/(\\d+)/(\\d+)");
+  private static final int CONTENT_TAG_LENGTH = 16;
+  private static final Pattern ID_PATTERN = Pattern.compile("([^/]+)/(.+)/([^/]+)/(\\d+)/(\\d+)");
 
   /** Returns the id of an attempt of a job's task. */
   public static AttemptId of(JobRequest request, int task, int attempt) {
-    return new AttemptId(request.key(), contentOf(request.digest()), task, attempt);
+    return new AttemptId(request.key(), contentTagOf(request.digest()), task, attempt);
   }
 
   /** Returns the part of a digest that attempts carry. */
-  public static String contentOf(String digest) {
-    return digest.substring(0, Math.min(CONTENT_CHARACTERS, digest.length()));
+  public static String contentTagOf(String digest) {
+    return digest.substring(0, Math.min(CONTENT_TAG_LENGTH, digest.length()));
   }
 
   /** Returns the id written by {@link #toString()}, or empty if the text is not one. */
   public static Optional<AttemptId> parse(String text) {
-    Matcher matcher = TEXT.matcher(text);
+    Matcher matcher = ID_PATTERN.matcher(text);
     if (!matcher.matches()) {
       return Optional.empty();
     }
@@ -50,6 +50,6 @@
 
   @Override
   public String toString() {
-    return key + "/" + content + "/" + task + "/" + attempt;
+    return key + "/" + contentTag + "/" + task + "/" + attempt;
   }
 }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/submission/JobOutcome.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/submission/JobOutcome.java
@@ -29,7 +29,7 @@
   record Failed(ErrorKind kind, String detail, long retryAfterMillis) implements JobOutcome {}
 
   /** Returns the word for logs: {@code completed} or the code of the error kind. */
-  default String word() {
+  default String code() {
     return switch (this) {
       case Completed completed -> "completed";
       case Failed failed -> failed.kind().code();
--- a/burdockbay-core/src/main/java/org/burdockbay/core/work/TaskSize.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/work/TaskSize.java
@@ -20,14 +20,14 @@
   }
 
   /** Returns how many of this size fit into the given room together. */
-  public int timesInto(TaskSize room) {
+  public int maxCountIn(TaskSize room) {
     int times = Integer.MAX_VALUE;
-    times = Math.min(times, times(cpuMillicores, room.cpuMillicores));
-    times = Math.min(times, times(memoryMegabytes, room.memoryMegabytes));
-    return Math.min(times, times(accelerators, room.accelerators));
+    times = Math.min(times, maxCount(cpuMillicores, room.cpuMillicores));
+    times = Math.min(times, maxCount(memoryMegabytes, room.memoryMegabytes));
+    return Math.min(times, maxCount(accelerators, room.accelerators));
   }
 
-  private static int times(int each, int room) {
+  private static int maxCount(int each, int room) {
     return each == 0 ? Integer.MAX_VALUE : Math.max(0, room / each);
   }
 
--- a/burdockbay-core/src/test/java/org/burdockbay/core/agreement/RaftFuzzTest.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/agreement/RaftFuzzTest.java
@@ -5,7 +5,7 @@
 import static org.quicktheories.generators.SourceDSL.lists;
 
 import java.util.List;
-import org.burdockbay.core.FuzzDepth;
+import org.burdockbay.core.FuzzOptions;
 import org.testng.annotations.AfterClass;
 import org.testng.annotations.Test;
 
@@ -20,10 +20,10 @@
    * off, in any order. The cause would be a flaw in elections, commitment or persistence.
    */
   @Test
-  public void keepsCommittedEntriesThroughCrashesCutsAndFreezes() {
-    qt().withFixedSeed(FuzzDepth.seed())
-        .withExamples(FuzzDepth.examples(150))
-        .withShrinkCycles(FuzzDepth.SHRINKS)
+  public void keepsCommittedEntriesThroughCrashesPartitionsAndPauses() {
+    qt().withFixedSeed(FuzzOptions.seed())
+        .withExamples(FuzzOptions.exampleCount(150))
+        .withShrinkCycles(FuzzOptions.MAX_SHRINK_CYCLES)
         .forAll(lists().of(integers().between(0, 999_999)).ofSize(STEPS))
         .checkAssert(steps -> run(steps, false));
   }
@@ -35,17 +35,17 @@
    */
   @Test
   public void keepsCommittedEntriesThroughLostDisks() {
-    qt().withFixedSeed(FuzzDepth.seed())
-        .withExamples(FuzzDepth.examples(150))
-        .withShrinkCycles(FuzzDepth.SHRINKS)
+    qt().withFixedSeed(FuzzOptions.seed())
+        .withExamples(FuzzOptions.exampleCount(150))
+        .withShrinkCycles(FuzzOptions.MAX_SHRINK_CYCLES)
         .forAll(lists().of(integers().between(0, 999_999)).ofSize(STEPS))
         .checkAssert(steps -> run(steps, true));
   }
 
   /** Prints the figures of the run. */
   @AfterClass
-  public void printFigures() {
-    System.out.println(FuzzDepth.figures("raft"));
+  public void printStatistics() {
+    System.out.println(FuzzOptions.summary("raft"));
   }
 
   private static void run(List<Integer> steps, boolean wipes) {
@@ -54,8 +54,8 @@
     for (int step : steps) {
       step(model, step % 100, step / 100, wipes);
     }
-    FuzzDepth.count("raft", steps.size(), model.committed.size());
-    if (!model.heals()) {
+    FuzzOptions.recordExample("raft", steps.size(), model.committed.size());
+    if (!model.recovers()) {
       throw new AssertionError("no progress after all faults ended: " + model.describe());
     }
   }
@@ -64,7 +64,7 @@
     int member = number % model.members.size();
     RaftModel.Member target = model.members.get(member);
     if (action < 34) {
-      model.calmRound(5);
+      model.runFaultFreeRound(5);
     } else if (action < 44) {
       model.deliver(number, false);
     } else if (action < 47) {
@@ -82,27 +82,27 @@
     } else if (action < 82) {
       target.restartIfDown();
     } else if (action < 84) {
-      target.cut = true;
+      target.partitioned = true;
     } else if (action < 89) {
-      target.cut = false;
+      target.partitioned = false;
     } else if (action < 90) {
-      target.frozen = true;
+      target.paused = true;
     } else if (action < 93) {
-      target.frozen = false;
+      target.paused = false;
     } else if (action < 95) {
       model.compact(member);
     } else if (action < 96) {
       model.transfer(member);
     } else if (action < 98) {
       model.reconcile(member);
-    } else if (wipes && mayLoseDisk(model, target)) {
-      target.wipe();
-      model.repair();
+    } else if (wipes && canLoseDisk(model, target)) {
+      target.wipeDisk();
+      model.runRepair();
     }
   }
 
   /** A group survives lost disks as long as a quorum of its voters keeps theirs. */
-  private static boolean mayLoseDisk(RaftModel model, RaftModel.Member target) {
+  private static boolean canLoseDisk(RaftModel model, RaftModel.Member target) {
     for (RaftModel.Member member : model.members) {
       if (member.node == null) {
         return false;
@@ -113,7 +113,7 @@
               .filter(voter -> !voter.equals(target.id))
               .filter(voter -> model.members.stream().anyMatch(m -> m.id.equals(voter)))
               .count();
-      if (!set.voters().isEmpty() && intact < set.quorum()) {
+      if (!set.voters().isEmpty() && intact < set.quorumSize()) {
         return false;
       }
     }
--- a/burdockbay-core/src/test/java/org/burdockbay/core/agreement/RaftModel.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/agreement/RaftModel.java
@@ -10,15 +10,15 @@
 /**
  * A group of voters in one thread, with a bag of messages, simulated disks, and the oracle.
  *
- * <p>The oracle fits in {@link #commit} and {@link #lead}: an index is committed with one content
- * only, and a term has one leader only.
+ * <p>The oracle fits in {@link #recordCommit} and {@link #recordLeader}: an index is committed with
+ * one content only, and a term has one leader only.
  */
 final class RaftModel {
 
   static final RaftTiming TIMING = new RaftTiming(10, 60, 15, 40);
 
   final List<Member> members = new ArrayList<>();
-  final List<RaftMessage> bag = new ArrayList<>();
+  final List<RaftMessage> messagesInFlight = new ArrayList<>();
   final Map<Long, LogEntry> committed = new TreeMap<>();
   private final Map<Long, VoterId> leaders = new HashMap<>();
   private long now;
@@ -39,60 +39,63 @@
   void tick(int member, int millis) {
     now += millis;
     Member target = members.get(member);
-    if (target.running()) {
-      target.take(target.node.tick(now));
+    if (target.isRunning()) {
+      target.handleEffects(target.node.tick(now));
     }
   }
 
   /** Delivers a message of the bag; the bag keeps it if it is to be duplicated. */
   void deliver(int index, boolean keep) {
-    if (bag.isEmpty()) {
+    if (messagesInFlight.isEmpty()) {
       return;
     }
-    RaftMessage message = keep ? bag.get(index % bag.size()) : bag.remove(index % bag.size());
+    RaftMessage message =
+        keep
+            ? messagesInFlight.get(index % messagesInFlight.size())
+            : messagesInFlight.remove(index % messagesInFlight.size());
     for (Member member : members) {
-      boolean reachable = !member.cut && !cut(message.from());
-      if (member.id.equals(message.to()) && member.running() && reachable) {
-        member.take(member.node.receive(message, now));
+      boolean reachable = !member.partitioned && !isPartitioned(message.from());
+      if (member.id.equals(message.to()) && member.isRunning() && reachable) {
+        member.handleEffects(member.node.receive(message, now));
       }
     }
   }
 
   void drop(int index) {
-    if (!bag.isEmpty()) {
-      bag.remove(index % bag.size());
+    if (!messagesInFlight.isEmpty()) {
+      messagesInFlight.remove(index % messagesInFlight.size());
     }
   }
 
   void propose(int member) {
     Member target = members.get(member);
-    if (target.running()) {
+    if (target.isRunning()) {
       proposals++;
       Bytes command =
           Bytes.copyOf(("command-" + proposals).getBytes(java.nio.charset.StandardCharsets.UTF_8));
       target.node.propose(command, now);
-      target.take(target.node.flush());
+      target.handleEffects(target.node.flush());
     }
   }
 
   void compact(int member) {
     Member target = members.get(member);
-    if (target.running()) {
-      target.take(target.node.compact(target.image()));
+    if (target.isRunning()) {
+      target.handleEffects(target.node.compact(target.snapshotData()));
     }
   }
 
   void transfer(int member) {
     Member target = members.get(member);
-    if (target.running()) {
-      target.take(target.node.transferLeadership(now));
+    if (target.isRunning()) {
+      target.handleEffects(target.node.transferLeadership(now));
     }
   }
 
   /** Brings the voters in line with the incarnations that run, as the leader's keeper does. */
   void reconcile(int leader) {
     Member target = members.get(leader);
-    if (!target.running() || target.node.role() != RaftRole.LEADER) {
+    if (!target.isRunning() || target.node.role() != RaftRole.LEADER) {
       return;
     }
     for (Member present : members) {
@@ -103,11 +106,11 @@
         next = Optional.of(set.without(old.get()));
       } else if (old.isEmpty() && !set.learners().contains(present.id)) {
         next = Optional.of(set.withLearner(present.id));
-      } else if (old.isEmpty() && target.node.caughtUp(present.id)) {
+      } else if (old.isEmpty() && target.node.isCaughtUp(present.id)) {
         next = Optional.of(set.withVoter(present.id));
       }
       if (next.isPresent() && target.node.proposeMembers(next.get(), now)) {
-        target.take(target.node.flush());
+        target.handleEffects(target.node.flush());
         return;
       }
     }
@@ -115,7 +118,7 @@
 
   /** Returns the state of every member, for the message of a failure. */
   String describe() {
-    StringBuilder text = new StringBuilder("messages=" + bag.size());
+    StringBuilder text = new StringBuilder("messages=" + messagesInFlight.size());
     for (Member member : members) {
       RaftNode node = member.node;
       text.append("\n  ").append(member.id).append(" ").append(node.role());
@@ -127,20 +130,20 @@
   }
 
   /** Everything that can run does: time passes, disks sync, the messages of the bag arrive. */
-  void calmRound(int millis) {
+  void runFaultFreeRound(int millis) {
     for (int i = 0; i < members.size(); i++) {
       tick(i, millis);
       members.get(i).sync();
     }
-    for (int i = bag.size(); i > 0 && !bag.isEmpty(); i--) {
+    for (int i = messagesInFlight.size(); i > 0 && !messagesInFlight.isEmpty(); i--) {
       deliver(0, false);
     }
   }
 
   /** Some calm after a lost disk, in which the leader takes the new voter in. */
-  void repair() {
+  void runRepair() {
     for (int round = 0; round < 60; round++) {
-      calmRound(5);
+      runFaultFreeRound(5);
       for (int i = 0; i < members.size(); i++) {
         reconcile(i);
       }
@@ -148,17 +151,17 @@
   }
 
   /** Ends all faults and lets everything arrive, until a leader commits something new. */
-  boolean heals() {
+  boolean recovers() {
     for (Member member : members) {
-      member.cut = false;
-      member.frozen = false;
+      member.partitioned = false;
+      member.paused = false;
       if (member.node == null) {
         member.restart();
       }
     }
     long before = committed.size();
     for (int round = 0; round < 600; round++) {
-      calmRound(5);
+      runFaultFreeRound(5);
       for (int i = 0; i < members.size(); i++) {
         propose(i);
         reconcile(i);
@@ -170,11 +173,11 @@
     return false;
   }
 
-  private boolean cut(VoterId sender) {
-    return members.stream().anyMatch(member -> member.id.equals(sender) && member.cut);
+  private boolean isPartitioned(VoterId sender) {
+    return members.stream().anyMatch(member -> member.id.equals(sender) && member.partitioned);
   }
 
-  private void commit(VoterId by, LogEntry entry) {
+  private void recordCommit(VoterId by, LogEntry entry) {
     LogEntry before = committed.putIfAbsent(entry.index(), entry);
     if (before != null
         && (before.term() != entry.term() || !before.content().equals(entry.content()))) {
@@ -183,7 +186,7 @@
     }
   }
 
-  private void lead(VoterId member, long term) {
+  private void recordLeader(VoterId member, long term) {
     VoterId before = leaders.putIfAbsent(term, member);
     if (before != null && !before.equals(member)) {
       throw new AssertionError("term " + term + " is led by " + before + " and by " + member);
@@ -195,8 +198,8 @@
 
     VoterId id;
     RaftNode node;
-    boolean cut;
-    boolean frozen;
+    boolean partitioned;
+    boolean paused;
     private HardState hardState;
     private Optional<Snapshot> snapshot;
     private List<LogEntry> entries;
@@ -210,8 +213,8 @@
       restart();
     }
 
-    boolean running() {
-      return node != null && !frozen;
+    boolean isRunning() {
+      return node != null && !paused;
     }
 
     void crash() {
@@ -240,7 +243,7 @@
     }
 
     /** The disk is lost; the host comes back with an empty one, under a new incarnation. */
-    void wipe() {
+    void wipeDisk() {
       crash();
       nextIncarnation++;
       id = new VoterId(id.host(), nextIncarnation);
@@ -256,19 +259,19 @@
       unsynced.forEach(this::write);
       long ticket = unsynced.getLast().ticket();
       unsynced.clear();
-      take(node.persisted(ticket, now));
+      handleEffects(node.persisted(ticket, now));
     }
 
-    Bytes image() {
+    Bytes snapshotData() {
       return Bytes.copyOf(
           Long.toString(appliedHash).getBytes(java.nio.charset.StandardCharsets.UTF_8));
     }
 
-    void take(List<RaftEffect> effects) {
+    void handleEffects(List<RaftEffect> effects) {
       for (RaftEffect effect : effects) {
         switch (effect) {
           case RaftEffect.Persist persist -> unsynced.add(persist);
-          case RaftEffect.Send send -> bag.add(send.message());
+          case RaftEffect.Send send -> messagesInFlight.add(send.message());
           case RaftEffect.Apply apply -> apply.entries().forEach(this::apply);
           case RaftEffect.Restore restore -> {
             appliedIndex = restore.snapshot().index();
@@ -276,7 +279,7 @@
           }
           case RaftEffect.RoleChanged changed -> {
             if (changed.role() == RaftRole.LEADER) {
-              lead(id, changed.term());
+              recordLeader(id, changed.term());
             }
           }
         }
@@ -289,7 +292,7 @@
       }
       appliedIndex = entry.index();
       appliedHash = appliedHash * 31 + entry.content().hashCode();
-      commit(id, entry);
+      recordCommit(id, entry);
     }
 
     private void write(RaftEffect.Persist persist) {
--- a/burdockbay-core/src/test/java/org/burdockbay/core/agreement/RaftNodeTest.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/agreement/RaftNodeTest.java
@@ -18,18 +18,18 @@
   private static final VoterId C = new VoterId("c", 1);
   private static final List<VoterId> GROUP = List.of(A, B, C);
   private static final RaftTiming TIMING = RaftModel.TIMING;
-  private static final long LATER = 10 * TIMING.electionMillis();
+  private static final long AFTER_ELECTION_TIMEOUT = 10 * TIMING.electionTimeoutMillis();
 
   /**
    * A leader is cut off in silence and keeps answering as leader, while the other side has elected
    * another one. The cut-off one must notice by itself that it hears no quorum.
    */
   @Test
-  public void stepsDownWhenItHearsNoQuorum() {
-    RaftNode leader = elected();
-    leader.tick(LATER + TIMING.electionMillis() + 1);
+  public void stepsDownWithoutQuorumContact() {
+    RaftNode leader = electedLeader();
+    leader.tick(AFTER_ELECTION_TIMEOUT + TIMING.electionTimeoutMillis() + 1);
     assertEquals(leader.role(), RaftRole.FOLLOWER);
-    assertTrue(leader.propose(bytes("x"), LATER + 100).isEmpty());
+    assertTrue(leader.propose(bytes("x"), AFTER_ELECTION_TIMEOUT + 100).isEmpty());
   }
 
   /**
@@ -37,7 +37,7 @@
    * term may still be elected and overwrite it: an accepted change is gone (Raft, figure 8).
    */
   @Test
-  public void commitsEntriesOfEarlierTermsOnlyWithOneOfItsOwn() {
+  public void commitsEntriesOfEarlierTermsOnlyWithEntryOfCurrentTerm() {
     List<LogEntry> entries = new ArrayList<>(RecoveredLog.bootstrap(GROUP).entries());
     entries.add(new LogEntry(2, 2, 0, new EntryContent.Command(bytes("old"))));
     RaftNode leader =
@@ -49,10 +49,12 @@
             0);
     elect(leader);
     long before = leader.commitIndex();
-    leader.receive(new RaftMessage.AppendReply(B, A, leader.term(), true, 2), LATER);
+    leader.receive(
+        new RaftMessage.AppendReply(B, A, leader.term(), true, 2), AFTER_ELECTION_TIMEOUT);
     assertEquals(leader.commitIndex(), before);
     syncAll(leader, 2);
-    leader.receive(new RaftMessage.AppendReply(B, A, leader.term(), true, 3), LATER);
+    leader.receive(
+        new RaftMessage.AppendReply(B, A, leader.term(), true, 3), AFTER_ELECTION_TIMEOUT);
     assertEquals(leader.commitIndex(), 3);
   }
 
@@ -62,11 +64,12 @@
    */
   @Test
   public void countsItsOwnEntriesOnlyOnceSynced() {
-    RaftNode leader = elected();
-    leader.propose(bytes("x"), LATER);
+    RaftNode leader = electedLeader();
+    leader.propose(bytes("x"), AFTER_ELECTION_TIMEOUT);
     leader.flush();
     long entry = leader.lastIndex();
-    leader.receive(new RaftMessage.AppendReply(B, A, leader.term(), true, entry), LATER);
+    leader.receive(
+        new RaftMessage.AppendReply(B, A, leader.term(), true, entry), AFTER_ELECTION_TIMEOUT);
     assertTrue(leader.commitIndex() < entry);
     syncAll(leader, 10);
     assertEquals(leader.commitIndex(), entry);
@@ -77,14 +80,14 @@
    * only the others hold are overwritten.
    */
   @Test
-  public void refusesItsVoteToAnOlderLog() {
+  public void deniesVotesToCandidatesWithOlderLogs() {
     RaftNode voter = follower(3);
     RaftMessage.VoteRequest request = new RaftMessage.VoteRequest(B, A, 9, 1, 1, false, true);
-    assertFalse(voteOf(voter.receive(request, LATER)).isPresent());
+    assertFalse(grantedVote(voter.receive(request, AFTER_ELECTION_TIMEOUT)).isPresent());
     RaftMessage.VoteRequest newer = new RaftMessage.VoteRequest(C, A, 9, 3, 1, false, true);
-    List<RaftEffect> effects = voter.receive(newer, LATER);
-    assertFalse(voteOf(effects).isPresent(), "a vote leaves only after the sync");
-    assertTrue(voteOf(voter.persisted(ticketOf(effects), LATER)).isPresent());
+    List<RaftEffect> effects = voter.receive(newer, AFTER_ELECTION_TIMEOUT);
+    assertFalse(grantedVote(effects).isPresent(), "a vote leaves only after the sync");
+    assertTrue(grantedVote(voter.persisted(ticketOf(effects), AFTER_ELECTION_TIMEOUT)).isPresent());
   }
 
   /**
@@ -93,10 +96,10 @@
    * the short time alone, members that campaign side by side split the votes for ever.
    */
   @Test
-  public void campaignsSoonAndThenLaterWhileItHearsOfNoLeader() {
+  public void lengthensElectionTimeoutsWhileNoLeaderIsKnown() {
     RaftNode member = new RaftNode(A, RecoveredLog.bootstrap(GROUP), TIMING, 1, 0);
     List<Long> campaigns = new ArrayList<>();
-    for (long time = 1; time <= LATER; time++) {
+    for (long time = 1; time <= AFTER_ELECTION_TIMEOUT; time++) {
       boolean campaigned =
           member.tick(time).stream()
               .anyMatch(
@@ -107,9 +110,10 @@
         campaigns.add(time);
       }
     }
-    assertTrue(campaigns.getFirst() <= 2 * TIMING.firstElectionMillis(), campaigns.toString());
+    assertTrue(
+        campaigns.getFirst() <= 2 * TIMING.initialElectionTimeoutMillis(), campaigns.toString());
     long lastPause = campaigns.getLast() - campaigns.get(campaigns.size() - 2);
-    assertTrue(lastPause >= TIMING.electionMillis(), campaigns.toString());
+    assertTrue(lastPause >= TIMING.electionTimeoutMillis(), campaigns.toString());
   }
 
   /**
@@ -117,10 +121,12 @@
    * unseated again and again, and callers wait for elections.
    */
   @Test
-  public void refusesVotesWhileItsLeaderIsAlive() {
+  public void deniesVotesWhileLeaderIsAlive() {
     RaftNode voter = follower(1);
-    voter.receive(new RaftMessage.AppendRequest(B, A, 2, 1, 1, List.of(), 1), LATER);
-    voter.receive(new RaftMessage.VoteRequest(C, A, 50, 9, 9, false, false), LATER + 1);
+    voter.receive(
+        new RaftMessage.AppendRequest(B, A, 2, 1, 1, List.of(), 1), AFTER_ELECTION_TIMEOUT);
+    voter.receive(
+        new RaftMessage.VoteRequest(C, A, 50, 9, 9, false, false), AFTER_ELECTION_TIMEOUT + 1);
     assertEquals(voter.term(), 2);
   }
 
@@ -133,7 +139,8 @@
     VoterId replaced = new VoterId("a", 77);
     RaftNode node = new RaftNode(replaced, RecoveredLog.EMPTY, TIMING, 1, 0);
     List<RaftEffect> effects =
-        node.receive(new RaftMessage.VoteRequest(B, A, 9, 9, 9, false, true), LATER);
+        node.receive(
+            new RaftMessage.VoteRequest(B, A, 9, 9, 9, false, true), AFTER_ELECTION_TIMEOUT);
     assertTrue(effects.isEmpty());
     assertEquals(node.term(), 0);
   }
@@ -143,20 +150,21 @@
    * committed, the rest would be a quorum without the last accepted changes.
    */
   @Test
-  public void countsLearnersAsCaughtUpOnlyWithAllThatIsCommitted() {
-    RaftNode leader = elected();
+  public void reportsLearnersCaughtUpOnlyWithAllCommittedEntries() {
+    RaftNode leader = electedLeader();
     commitAll(leader);
     final VoterId learner = new VoterId("c", 2);
-    assertTrue(leader.proposeMembers(leader.voters().without(C), LATER));
+    assertTrue(leader.proposeMembers(leader.voters().without(C), AFTER_ELECTION_TIMEOUT));
     leader.flush();
     commitAll(leader);
-    assertTrue(leader.proposeMembers(leader.voters().withLearner(learner), LATER));
+    assertTrue(leader.proposeMembers(leader.voters().withLearner(learner), AFTER_ELECTION_TIMEOUT));
     leader.flush();
     commitAll(leader);
-    assertFalse(leader.caughtUp(learner));
+    assertFalse(leader.isCaughtUp(learner));
     leader.receive(
-        new RaftMessage.AppendReply(learner, A, leader.term(), true, leader.commitIndex()), LATER);
-    assertTrue(leader.caughtUp(learner));
+        new RaftMessage.AppendReply(learner, A, leader.term(), true, leader.commitIndex()),
+        AFTER_ELECTION_TIMEOUT);
+    assertTrue(leader.isCaughtUp(learner));
   }
 
   /**
@@ -164,14 +172,15 @@
    * different changes at once.
    */
   @Test
-  public void changesNoTwoVotersAtOnce() {
-    RaftNode leader = elected();
+  public void rejectsOverlappingAndMultiVoterChanges() {
+    RaftNode leader = electedLeader();
     commitAll(leader);
     VoterSet two = leader.voters().without(B).without(C);
-    assertFalse(leader.proposeMembers(two, LATER), "two voters at once");
-    assertTrue(leader.proposeMembers(leader.voters().without(C), LATER));
+    assertFalse(leader.proposeMembers(two, AFTER_ELECTION_TIMEOUT), "two voters at once");
+    assertTrue(leader.proposeMembers(leader.voters().without(C), AFTER_ELECTION_TIMEOUT));
     assertFalse(
-        leader.proposeMembers(leader.voters().withVoter(new VoterId("d", 1)), LATER),
+        leader.proposeMembers(
+            leader.voters().withVoter(new VoterId("d", 1)), AFTER_ELECTION_TIMEOUT),
         "a second change before the first is committed");
   }
 
@@ -184,7 +193,7 @@
   public void keepsAcknowledgedEntriesBeyondSnapshots() {
     RaftNode follower = follower(5);
     Snapshot part = new Snapshot(3, 1, 0, new VoterSet(GROUP, List.of()), bytes("state"));
-    follower.receive(new RaftMessage.SnapshotChunk(B, A, 2, part, 0, 5), LATER);
+    follower.receive(new RaftMessage.SnapshotChunk(B, A, 2, part, 0, 5), AFTER_ELECTION_TIMEOUT);
     assertEquals(follower.lastIndex(), 5);
     assertEquals(follower.commitIndex(), 3);
   }
@@ -194,7 +203,7 @@
    * again, since each heartbeat counted as a fresh message, and the host never caught up.
    */
   @Test
-  public void sendsLostPartsOfSnapshotsAgain() {
+  public void resendsLostSnapshotChunks() {
     Snapshot snapshot = new Snapshot(5, 1, 0, new VoterSet(GROUP, List.of()), bytes("state"));
     RaftNode leader =
         new RaftNode(
@@ -204,9 +213,12 @@
             1,
             0);
     elect(leader);
-    leader.receive(new RaftMessage.AppendReply(C, A, leader.term(), false, 1), LATER);
+    leader.receive(
+        new RaftMessage.AppendReply(C, A, leader.term(), false, 1), AFTER_ELECTION_TIMEOUT);
     int chunks = 0;
-    for (long time = LATER; time < LATER + 10 * TIMING.stallMillis(); time += 5) {
+    for (long time = AFTER_ELECTION_TIMEOUT;
+        time < AFTER_ELECTION_TIMEOUT + 10 * TIMING.resendTimeoutMillis();
+        time += 5) {
       leader.receive(new RaftMessage.AppendReply(B, A, leader.term(), true, 0), time);
       chunks += count(leader.tick(time), RaftMessage.SnapshotChunk.class, C);
     }
@@ -219,53 +231,58 @@
    * the third write loses entries that were acknowledged as synced.
    */
   @Test
-  public void countsNoSyncFromBeforeTruncations() {
+  public void ignoresSyncsFromBeforeTruncations() {
     RaftNode follower = follower(1);
     LogEntry own = new LogEntry(2, 2, 0, new EntryContent.Command(bytes("x")));
     LogEntry rival = new LogEntry(2, 3, 0, new EntryContent.Command(bytes("y")));
     long first =
         ticketOf(
-            follower.receive(new RaftMessage.AppendRequest(B, A, 2, 1, 1, List.of(own), 0), LATER));
-    follower.receive(new RaftMessage.AppendRequest(C, A, 3, 1, 1, List.of(rival), 0), LATER);
-    follower.receive(new RaftMessage.AppendRequest(B, A, 4, 1, 1, List.of(own), 0), LATER);
-    follower.persisted(first, LATER);
+            follower.receive(
+                new RaftMessage.AppendRequest(B, A, 2, 1, 1, List.of(own), 0),
+                AFTER_ELECTION_TIMEOUT));
+    follower.receive(
+        new RaftMessage.AppendRequest(C, A, 3, 1, 1, List.of(rival), 0), AFTER_ELECTION_TIMEOUT);
+    follower.receive(
+        new RaftMessage.AppendRequest(B, A, 4, 1, 1, List.of(own), 0), AFTER_ELECTION_TIMEOUT);
+    follower.persisted(first, AFTER_ELECTION_TIMEOUT);
     List<RaftEffect> effects =
-        follower.receive(new RaftMessage.AppendRequest(B, A, 4, 2, 2, List.of(), 0), LATER);
-    assertEquals(acknowledged(effects), 1);
+        follower.receive(
+            new RaftMessage.AppendRequest(B, A, 4, 2, 2, List.of(), 0), AFTER_ELECTION_TIMEOUT);
+    assertEquals(acknowledgedIndex(effects), 1);
   }
 
   /** Guards against large commands exhausting memory and disk before the entry limit is reached. */
   @Test
   public void compactsAtByteLimit() {
-    RaftNode leader = elected();
+    RaftNode leader = electedLeader();
     commitAll(leader);
-    Bytes large = Bytes.copyOf(new byte[(int) RaftNode.BYTES_TO_COMPACT / 8]);
+    Bytes large = Bytes.copyOf(new byte[(int) RaftNode.COMPACTION_THRESHOLD_BYTES / 8]);
     for (int i = 0; i < 8; i++) {
-      assertFalse(leader.compactionDue(), "after " + i + " commands");
-      leader.propose(large, LATER);
+      assertFalse(leader.isCompactionDue(), "after " + i + " commands");
+      leader.propose(large, AFTER_ELECTION_TIMEOUT);
       leader.flush();
       commitAll(leader);
       leader.flush();
     }
-    assertTrue(leader.compactionDue());
+    assertTrue(leader.isCompactionDue());
     leader.compact(bytes("state"));
-    assertFalse(leader.compactionDue());
+    assertFalse(leader.isCompactionDue());
     assertTrue(leader.entriesInMemory() <= 3, leader.entriesInMemory() + " entries in memory");
   }
 
-  private static RaftNode elected() {
+  private static RaftNode electedLeader() {
     RaftNode node = new RaftNode(A, RecoveredLog.bootstrap(GROUP), TIMING, 1, 0);
     elect(node);
     return node;
   }
 
   private static void elect(RaftNode node) {
-    node.tick(LATER);
+    node.tick(AFTER_ELECTION_TIMEOUT);
     long next = node.term() + 1;
     List<RaftEffect> campaign =
-        node.receive(new RaftMessage.VoteReply(B, A, next, true, true), LATER);
-    node.receive(new RaftMessage.VoteReply(B, A, next, true, false), LATER);
-    node.persisted(ticketOf(campaign), LATER);
+        node.receive(new RaftMessage.VoteReply(B, A, next, true, true), AFTER_ELECTION_TIMEOUT);
+    node.receive(new RaftMessage.VoteReply(B, A, next, true, false), AFTER_ELECTION_TIMEOUT);
+    node.persisted(ticketOf(campaign), AFTER_ELECTION_TIMEOUT);
     assertEquals(node.role(), RaftRole.LEADER);
   }
 
@@ -281,14 +298,15 @@
 
   private static void syncAll(RaftNode node, int tickets) {
     for (int ticket = 1; ticket <= tickets; ticket++) {
-      node.persisted(ticket, LATER);
+      node.persisted(ticket, AFTER_ELECTION_TIMEOUT);
     }
   }
 
   private static void commitAll(RaftNode leader) {
     syncAll(leader, 20);
     leader.receive(
-        new RaftMessage.AppendReply(B, A, leader.term(), true, leader.lastIndex()), LATER);
+        new RaftMessage.AppendReply(B, A, leader.term(), true, leader.lastIndex()),
+        AFTER_ELECTION_TIMEOUT);
     assertEquals(leader.commitIndex(), leader.lastIndex());
   }
 
@@ -300,13 +318,13 @@
         .orElseThrow();
   }
 
-  private static Optional<RaftMessage> voteOf(List<RaftEffect> effects) {
+  private static Optional<RaftMessage> grantedVote(List<RaftEffect> effects) {
     return messages(effects).stream()
         .filter(m -> m instanceof RaftMessage.VoteReply reply && reply.granted())
         .findFirst();
   }
 
-  private static long acknowledged(List<RaftEffect> effects) {
+  private static long acknowledgedIndex(List<RaftEffect> effects) {
     return messages(effects).stream()
         .filter(RaftMessage.AppendReply.class::isInstance)
         .mapToLong(m -> ((RaftMessage.AppendReply) m).index())
--- a/burdockbay-core/src/test/java/org/burdockbay/core/catalog/CatalogDownloadTest.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/catalog/CatalogDownloadTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Random;
 import org.burdockbay.core.agreement.Bytes;
-import org.burdockbay.core.lease.LeaseTerms;
+import org.burdockbay.core.lease.LeaseTiming;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
@@ -20,7 +20,7 @@
   private static final int ENTRY_HOSTS = 47;
   private static final double FAST_BYTES_PER_MILLI = 125_000;
   private static final double SLOW_BYTES_PER_MILLI = 175;
-  private static final long IN_FORCE_MILLIS = 3_000;
+  private static final long IN_FORCE_TIMEOUT_MILLIS = 3_000;
   private static final double START_MILLIS = 1_000;
 
   private final List<LinkModel.Host> sources = new ArrayList<>();
@@ -70,9 +70,9 @@
   /** Guards against lost hosts when the transfer takes longer than the heartbeat timeout. */
   @Test
   public void doesNotDelayHeartbeatsWithVeryLargeCatalog() {
-    PackedCatalog large = PackedCatalog.of(1, text(1, 5 * QUEUES));
+    CompressedCatalog large = CompressedCatalog.of(1, text(1, 5 * QUEUES));
     model.schedule(START_MILLIS, () -> sources.forEach(source -> source.publish(large)));
-    model.runUntil(START_MILLIS + 4 * IN_FORCE_MILLIS);
+    model.runUntil(START_MILLIS + 4 * IN_FORCE_TIMEOUT_MILLIS);
     assertEquals(entryHosts.stream().filter(host -> host.version() < 1).count(), 0);
     assertNoHostIsLost();
   }
@@ -80,9 +80,9 @@
   /** Guards against a single source saturating its low-bandwidth link with parts. */
   @Test
   public void doesNotDelayHeartbeatsOfOnlySource() {
-    PackedCatalog catalog = PackedCatalog.of(1, text(1, QUEUES));
+    CompressedCatalog catalog = CompressedCatalog.of(1, text(1, QUEUES));
     model.schedule(START_MILLIS, () -> entryHosts.getFirst().publish(catalog));
-    model.runUntil(START_MILLIS + 4 * IN_FORCE_MILLIS);
+    model.runUntil(START_MILLIS + 4 * IN_FORCE_TIMEOUT_MILLIS);
     assertNoHostIsLost();
   }
 
@@ -90,36 +90,37 @@
   @Test
   public void continuesFromAnotherHost() {
     CatalogSource source = new CatalogSource();
-    PackedCatalog catalog = PackedCatalog.of(1, text(1, QUEUES));
+    CompressedCatalog catalog = CompressedCatalog.of(1, text(1, QUEUES));
     source.add(catalog);
     CatalogDownload download = new CatalogDownload();
-    CatalogPart.Request first = download.announced(1, 0).orElseThrow();
-    CatalogPart part = source.part("a", first, 0).orElseThrow();
-    assertTrue(download.received(part, 1) instanceof CatalogDownload.Result.Continue);
-    assertTrue(download.announced(1, CatalogDownload.PART_TIMEOUT_MILLIS).isEmpty());
+    CatalogPart.Request first = download.handleAnnouncement(1, 0).orElseThrow();
+    CatalogPart part = source.servePart("a", first, 0).orElseThrow();
+    assertTrue(download.handlePart(part, 1) instanceof CatalogDownload.Result.Continue);
+    assertTrue(download.handleAnnouncement(1, CatalogDownload.PART_TIMEOUT_MILLIS).isEmpty());
     CatalogPart.Request again =
-        download.announced(1, CatalogDownload.PART_TIMEOUT_MILLIS + 1).orElseThrow();
+        download.handleAnnouncement(1, CatalogDownload.PART_TIMEOUT_MILLIS + 1).orElseThrow();
     assertEquals(again.offset(), CatalogSource.PART_BYTES);
   }
 
   /** Guards against putting a corrupt or truncated catalog in force. */
   @Test
   public void rejectsCorruptData() {
-    byte[] data = PackedCatalog.of(1, text(1, QUEUES)).data().toArray();
+    byte[] data = CompressedCatalog.of(1, text(1, QUEUES)).data().toArray();
     data[data.length / 2] ^= 1;
-    PackedCatalog corrupt = new PackedCatalog(1, Bytes.copyOf(data));
+    CompressedCatalog corrupt = new CompressedCatalog(1, Bytes.copyOf(data));
     assertThrows(CatalogException.class, corrupt::text);
-    PackedCatalog truncated = new PackedCatalog(1, Bytes.copyOf(data).slice(0, data.length / 2));
+    CompressedCatalog truncated =
+        new CompressedCatalog(1, Bytes.copyOf(data).slice(0, data.length / 2));
     assertThrows(CatalogException.class, truncated::text);
   }
 
   private void publish(long version, double time) {
-    PackedCatalog catalog = PackedCatalog.of(version, text(version, QUEUES));
+    CompressedCatalog catalog = CompressedCatalog.of(version, text(version, QUEUES));
     model.schedule(time, () -> sources.forEach(source -> source.publish(catalog)));
   }
 
   private void assertInForce(long version, double publishedAt) {
-    model.runUntil(publishedAt + IN_FORCE_MILLIS);
+    model.runUntil(publishedAt + IN_FORCE_TIMEOUT_MILLIS);
     long late = entryHosts.stream().filter(host -> host.version() < version).count();
     double last = entryHosts.stream().mapToDouble(host -> host.inForceAt).max().orElseThrow();
     assertEquals(
@@ -130,7 +131,7 @@
   private void assertNoHostIsLost() {
     double longest = model.longestHeartbeatInterval();
     assertTrue(
-        longest < LeaseTerms.ENTRY_LOST_MILLIS,
+        longest < LeaseTiming.ENTRY_HOST_SILENCE_TIMEOUT_MILLIS,
         "longest interval between heartbeats: " + longest + " ms");
   }
 
--- a/burdockbay-core/src/test/java/org/burdockbay/core/catalog/CatalogTest.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/catalog/CatalogTest.java
@@ -13,7 +13,7 @@
 
   /** The longest prefix of the path wins, and host names have no case. */
   @Test
-  public void findsTheLongestPrefix() throws Exception {
+  public void findsQueueWithLongestPrefix() throws Exception {
     Catalog catalog =
         Catalog.of(
             1, List.of(queue("short", "/a/", 100), queue("long", "/a/b/", 100)), Set.of("desk"));
@@ -25,16 +25,17 @@
 
   /** An operator's slip must not put half of a document in force; the message names the queue. */
   @Test
-  public void refusesWhatIsInvalid() {
-    refused("names unknown service", List.of(queue("q", "/a/", 100)), Set.of("other"));
-    refused("has timeout 0", List.of(queue("q", "/a/", 0)), Set.of("desk"));
-    refused(
+  public void rejectsInvalidQueues() {
+    assertRejected("names unknown service", List.of(queue("q", "/a/", 100)), Set.of("other"));
+    assertRejected("has timeout 0", List.of(queue("q", "/a/", 0)), Set.of("desk"));
+    assertRejected(
         "same host and prefix",
         List.of(queue("q", "/a/", 100), queue("r", "/a/", 100)),
         Set.of("desk"));
   }
 
-  private static void refused(String complaint, List<QueueRule> queues, Set<String> services) {
+  private static void assertRejected(
+      String complaint, List<QueueRule> queues, Set<String> services) {
     CatalogException refusal =
         expectThrows(CatalogException.class, () -> Catalog.of(1, queues, services));
     assertTrue(refusal.getMessage().contains(complaint), refusal.getMessage());
--- a/burdockbay-core/src/test/java/org/burdockbay/core/catalog/LinkModel.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/catalog/LinkModel.java
@@ -11,9 +11,9 @@
 /** Simulates hosts whose links have limited bandwidth in each direction. */
 final class LinkModel {
 
-  static final long HEARTBEAT_MILLIS = 150;
-  private static final double PROPAGATION_MILLIS = 1;
-  private static final int OVERHEAD_BYTES = 150;
+  static final long HEARTBEAT_INTERVAL_MILLIS = 150;
+  private static final double PROPAGATION_DELAY_MILLIS = 1;
+  private static final int OVERHEAD_BYTES_PER_MESSAGE = 150;
 
   private final PriorityQueue<Event> events =
       new PriorityQueue<>(Comparator.comparingDouble(Event::at).thenComparingLong(Event::number));
@@ -25,7 +25,7 @@
   Host addHost(double bytesPerMilli) {
     Host host = new Host(hosts.size(), bytesPerMilli);
     hosts.add(host);
-    schedule(now + host.index % HEARTBEAT_MILLIS, host::heartbeat);
+    schedule(now + host.index % HEARTBEAT_INTERVAL_MILLIS, host::heartbeat);
     return host;
   }
 
@@ -57,8 +57,8 @@
     private final double[] lastHeartbeatAt = new double[1_000];
     private CatalogDownload download = new CatalogDownload();
     private CatalogSource source = new CatalogSource();
-    private double sendFreeAt;
-    private double receiveFreeAt;
+    private double uplinkFreeAt;
+    private double downlinkFreeAt;
     private double longestHeartbeatInterval;
     private long version;
     double inForceAt;
@@ -73,7 +73,7 @@
       return version;
     }
 
-    void publish(PackedCatalog catalog) {
+    void publish(CompressedCatalog catalog) {
       if (catalog.version() > version) {
         version = catalog.version();
         source.add(catalog);
@@ -90,56 +90,59 @@
 
     private void heartbeat() {
       sendHeartbeats();
-      schedule(now + HEARTBEAT_MILLIS, this::heartbeat);
+      schedule(now + HEARTBEAT_INTERVAL_MILLIS, this::heartbeat);
     }
 
     private void sendHeartbeats() {
       long announced = version;
       for (Host to : hosts) {
         if (to != this) {
-          send(to, 0, receiver -> receiver.receivedHeartbeat(this, announced));
+          send(to, 0, receiver -> receiver.handleHeartbeat(this, announced));
         }
       }
     }
 
     private void send(Host to, int bytes, Consumer<Host> delivery) {
-      int size = OVERHEAD_BYTES + bytes;
-      sendFreeAt = Math.max(sendFreeAt, now) + size / bytesPerMilli;
+      int size = OVERHEAD_BYTES_PER_MESSAGE + bytes;
+      uplinkFreeAt = Math.max(uplinkFreeAt, now) + size / bytesPerMilli;
       schedule(
-          sendFreeAt + PROPAGATION_MILLIS,
+          uplinkFreeAt + PROPAGATION_DELAY_MILLIS,
           () -> {
-            to.receiveFreeAt = Math.max(to.receiveFreeAt, now) + size / to.bytesPerMilli;
-            schedule(to.receiveFreeAt, () -> delivery.accept(to));
+            to.downlinkFreeAt = Math.max(to.downlinkFreeAt, now) + size / to.bytesPerMilli;
+            schedule(to.downlinkFreeAt, () -> delivery.accept(to));
           });
     }
 
-    private void receivedHeartbeat(Host from, long announcedVersion) {
+    private void handleHeartbeat(Host from, long announcedVersion) {
       if (lastHeartbeatAt[from.index] >= 0) {
         longestHeartbeatInterval =
             Math.max(longestHeartbeatInterval, now - lastHeartbeatAt[from.index]);
       }
       lastHeartbeatAt[from.index] = now;
       if (announcedVersion > version) {
-        download.announced(announcedVersion, (long) now).ifPresent(request -> fetch(from, request));
+        download
+            .handleAnnouncement(announcedVersion, (long) now)
+            .ifPresent(request -> fetch(from, request));
       }
     }
 
     private void fetch(Host from, CatalogPart.Request request) {
-      send(from, 0, source -> source.requested(this, new PeerMessage.FetchCatalogPart(request)));
+      send(
+          from, 0, source -> source.handleRequest(this, new PeerMessage.FetchCatalogPart(request)));
     }
 
-    private void requested(Host by, PeerMessage.FetchCatalogPart fetch) {
+    private void handleRequest(Host by, PeerMessage.FetchCatalogPart fetch) {
       source
-          .part("host-" + by.index, fetch.request(), (long) now)
+          .servePart("host-" + by.index, fetch.request(), (long) now)
           .ifPresent(
-              part -> send(by, part.data().size(), receiver -> receiver.received(this, part)));
+              part -> send(by, part.data().size(), receiver -> receiver.handlePart(this, part)));
     }
 
-    private void received(Host from, CatalogPart part) {
+    private void handlePart(Host from, CatalogPart part) {
       if (part.version() <= version) {
         return;
       }
-      switch (download.received(part, (long) now)) {
+      switch (download.handlePart(part, (long) now)) {
         case CatalogDownload.Result.None none -> {}
         case CatalogDownload.Result.Continue next -> fetch(from, next.request());
         case CatalogDownload.Result.Complete complete -> publish(complete.catalog());
--- a/burdockbay-core/src/test/java/org/burdockbay/core/configuration/DispatchConfigurationTest.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/configuration/DispatchConfigurationTest.java
@@ -26,7 +26,7 @@
 
   /** A document's values and fallbacks are those of the schema. */
   @Test
-  public void readsValuesAndFallbacks() throws ConfigurationException {
+  public void readsValuesAndDefaults() throws ConfigurationException {
     DispatchConfiguration configuration = DispatchConfiguration.parse("x.ini", 3, VALID);
     assertEquals(configuration.version(), 3);
     assertEquals(configuration.services().get("desk").queueLimit(), 5);
@@ -60,7 +60,7 @@
 
   /** A key or section given twice is an error, though the library would merge the two. */
   @Test
-  public void refusesWhatIsGivenTwice() {
+  public void rejectsDuplicateKeysAndSections() {
     String twice = VALID + "services = other\n[service desk]\n";
     ConfigurationException e =
         expectThrows(
@@ -71,7 +71,7 @@
 
   /** A reference to a service that doesn't exist names the line of the reference. */
   @Test
-  public void refusesUnknownReferences() {
+  public void rejectsUnknownReferences() {
     String text = VALID.replace("service = desk", "service = dsk");
     ConfigurationException e =
         expectThrows(
