--- a/burdockbay-core/src/test/java/org/burdockbay/core/control/ControlStateTest.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/control/ControlStateTest.java
@@ -12,10 +12,11 @@
    * later one silently undoes the other's change; exactly one may win, and the other must hear it.
    */
   @Test
-  public void letsOneOfTwoRacingOperatorsWin() {
+  public void rejectsSecondOfTwoConcurrentChanges() {
     ControlState state = new ControlState();
-    assertEquals(state.apply(apply("one", 0, "a"), 1), new ControlReply.Accepted(1));
-    assertEquals(state.apply(apply("two", 0, "b"), 1), new ControlReply.VersionConflict(1));
+    assertEquals(state.apply(applyConfiguration("one", 0, "a"), 1), new ControlReply.Accepted(1));
+    assertEquals(
+        state.apply(applyConfiguration("two", 0, "b"), 1), new ControlReply.VersionConflict(1));
     assertEquals(state.configuration().orElseThrow().text(), "a");
   }
 
@@ -24,29 +25,29 @@
    * must hear that its change was accepted, and must not put the old document back in force.
    */
   @Test
-  public void answersResentChangesAsTheFirstTime() {
+  public void repeatsReplyToResentChange() {
     ControlState state = new ControlState();
-    state.apply(apply("one", 0, "a"), 1);
-    state.apply(apply("two", 1, "b"), 1);
-    assertEquals(state.apply(apply("one", 0, "a"), 1), new ControlReply.Accepted(1));
+    state.apply(applyConfiguration("one", 0, "a"), 1);
+    state.apply(applyConfiguration("two", 1, "b"), 1);
+    assertEquals(state.apply(applyConfiguration("one", 0, "a"), 1), new ControlReply.Accepted(1));
     assertEquals(state.configuration().orElseThrow().text(), "b");
   }
 
   /** The history is bounded and the newest version always stays. */
   @Test
-  public void boundsItsHistory() {
+  public void limitsRetainedVersions() {
     ControlState state = new ControlState();
     for (int i = 0; i < 100; i++) {
-      state.apply(apply("change " + i, i, "text " + i), 1);
+      state.apply(applyConfiguration("change " + i, i, "text " + i), 1);
     }
-    assertEquals(state.history().size(), ControlState.KEPT_VERSIONS);
+    assertEquals(state.history().size(), ControlState.MAX_RETAINED_VERSIONS);
     assertEquals(state.configuration().orElseThrow().version(), 100);
     ControlState copy = new ControlState();
     copy.restore(state.image());
     assertEquals(copy.image(), state.image());
   }
 
-  private static ControlCommand apply(String id, long expected, String text) {
+  private static ControlCommand applyConfiguration(String id, long expected, String text) {
     return new ControlCommand.ApplyConfiguration(id, "operator", expected, text);
   }
 }
--- a/burdockbay-core/src/test/java/org/burdockbay/core/dispatch/DispatchFuzzTest.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/dispatch/DispatchFuzzTest.java
@@ -6,7 +6,7 @@
 
 import java.util.List;
 import java.util.function.Consumer;
-import org.burdockbay.core.FuzzDepth;
+import org.burdockbay.core.FuzzOptions;
 import org.testng.annotations.AfterClass;
 import org.testng.annotations.Test;
 
@@ -22,7 +22,7 @@
    * dies, so no task at all may begin twice.
    */
   @Test
-  public void startsNothingTwiceWhileMessagesGetLostAndHostsRestart() {
+  public void startsNoTaskTwiceDespiteLostMessagesAndPlannedRestarts() {
     check(steps -> run(steps, false));
   }
 
@@ -33,20 +33,20 @@
    * a gap between ledger, dispatcher and runners.
    */
   @Test
-  public void startsNoGuardedTaskTwiceThroughCrashesAndCuts() {
+  public void startsNoAtMostOnceTaskTwiceDespiteCrashesAndPartitions() {
     check(steps -> run(steps, true));
   }
 
   /** Prints the figures of the run. */
   @AfterClass
   public void printFigures() {
-    System.out.println(FuzzDepth.figures("dispatch"));
+    System.out.println(FuzzOptions.summary("dispatch"));
   }
 
   private static void check(Consumer<List<Integer>> property) {
-    qt().withFixedSeed(FuzzDepth.seed())
-        .withExamples(FuzzDepth.examples(120))
-        .withShrinkCycles(FuzzDepth.SHRINKS)
+    qt().withFixedSeed(FuzzOptions.seed())
+        .withExamples(FuzzOptions.exampleCount(120))
+        .withShrinkCycles(FuzzOptions.MAX_SHRINK_CYCLES)
         .forAll(lists().of(integers().between(0, 999_999)).ofSize(STEPS))
         .checkAssert(property);
   }
@@ -56,8 +56,8 @@
     for (int step : steps) {
       step(model, step % 100, step / 100, deaths);
     }
-    model.heal();
-    FuzzDepth.count("dispatch", steps.size(), model.answers);
+    model.healAndCheckAnswers();
+    FuzzOptions.recordExample("dispatch", steps.size(), model.answers);
   }
 
   private static void step(DispatchModel model, int action, int number, boolean deaths) {
@@ -69,7 +69,7 @@
     } else if (action < 49) {
       model.deliver(number, true);
     } else if (action < 53) {
-      model.lose(number);
+      model.dropMessage(number);
     } else if (action < 58) {
       model.advance(10 + number % 600);
     } else if (action < 78) {
@@ -77,17 +77,17 @@
     } else if (action < 80) {
       model.cancel(number, number / 10 % KEYS);
     } else if (action < 82) {
-      model.calm(3_000);
+      model.runWithoutFaults(3_000);
     } else if (action < 84) {
       model.rollingRestart(number);
     } else if (deaths) {
-      die(model, action, number);
+      injectFault(model, action, number);
     }
   }
 
-  private static void die(DispatchModel model, int action, int number) {
+  private static void injectFault(DispatchModel model, int action, int number) {
     if (action < 87) {
-      model.disturbed = true;
+      model.mayRepeatIdempotentTasks = true;
       model.host(number).frozen = true;
     } else if (action < 91) {
       model.host(number).frozen = false;
@@ -98,12 +98,12 @@
     } else if (action < 96) {
       model.restartRunner(number);
     } else if (action < 97) {
-      model.disturbed = true;
+      model.mayRepeatIdempotentTasks = true;
       model.partitioned = !model.partitioned;
     } else if (action < 98) {
       model.ledgerDown = !model.ledgerDown;
     } else if (action < 99) {
-      model.disturbed = true;
+      model.mayRepeatIdempotentTasks = true;
       model.runners.get(number % 4).down = !model.runners.get(number % 4).down;
     }
   }
--- a/burdockbay-core/src/test/java/org/burdockbay/core/dispatch/DispatchModel.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/dispatch/DispatchModel.java
@@ -9,7 +9,7 @@
 import org.burdockbay.core.configuration.DispatchConfiguration;
 import org.burdockbay.core.entry.EntryEffect;
 import org.burdockbay.core.entry.EntryEvent;
-import org.burdockbay.core.error.RunPromise;
+import org.burdockbay.core.error.RunGuarantee;
 import org.burdockbay.core.ledger.Ledger;
 import org.burdockbay.core.ledger.LedgerCommand;
 import org.burdockbay.core.ledger.LedgerReply;
@@ -26,12 +26,12 @@
  * Four hosts in two failure domains, their runners, callers that resubmit, and a ledger, in one
  * thread. Everything on its way is in one bag, from which it is delivered, lost or doubled.
  *
- * <p>The oracle is in {@link #began} and {@link #answered}.
+ * <p>The oracle is in {@link #recordStart} and {@link #recordAnswer}.
  */
 final class DispatchModel {
 
   static final String SERVICE = "desk";
-  private static final long DEADLINE = 8_000;
+  private static final long DEADLINE_MILLIS = 8_000;
   private static final String CONFIGURATION =
       """
       [service desk]
@@ -59,31 +59,31 @@
 
   final Map<String, ModelHost> hosts = new TreeMap<>();
   final List<ModelRunner> runners = new ArrayList<>();
-  final List<Runnable> bag = new ArrayList<>();
+  final List<Runnable> inFlight = new ArrayList<>();
   boolean partitioned;
   boolean ledgerDown;
 
   /** Whether idempotent tasks may begin again: a host or runner died, or domains were cut off. */
-  boolean disturbed;
+  boolean mayRepeatIdempotentTasks;
 
   int answers;
   private final Ledger ledger = new Ledger();
-  private final Map<String, Integer> begun = new HashMap<>();
-  private final Map<SubmissionKey, Long> begunJobs = new HashMap<>();
+  private final Map<String, Integer> startsByPayload = new HashMap<>();
+  private final Map<SubmissionKey, Long> firstStartByKey = new HashMap<>();
   private final Map<Long, Ticket> tickets = new HashMap<>();
 
   /** Cancellations without an answer, with the host at which each waits. */
-  private final Map<Long, String> asks = new HashMap<>();
+  private final Map<Long, String> pendingCancellations = new HashMap<>();
 
   private final StringBuilder trace = new StringBuilder();
   private long now = 1_000_000;
   private long lastTicket;
 
   /** Whether hosts and runners always hear of each other in time. */
-  private final boolean quiet;
+  private final boolean reliableAnnouncements;
 
   DispatchModel(boolean quiet) {
-    this.quiet = quiet;
+    this.reliableAnnouncements = quiet;
     DispatchConfiguration configuration;
     try {
       configuration = DispatchConfiguration.parse("model", 1, CONFIGURATION);
@@ -100,7 +100,7 @@
     for (String name : List.of("ra1", "ra2", "rb1", "rb2")) {
       runners.add(new ModelRunner(this, name, name.substring(1, 2)));
     }
-    calm(3_000);
+    runWithoutFaults(3_000);
   }
 
   long now() {
@@ -114,15 +114,16 @@
     for (ModelRunner runner : runners) {
       for (ModelHost host : hosts.values()) {
         if (!runner.down && host.domain.equals(runner.domain) && now % 1_000 < millis) {
-          soon(host, () -> host.dispatch(new DispatchEvent.RunnerAnnounced(runner.announcement())));
+          announceOrEnqueue(
+              host, () -> host.dispatch(new DispatchEvent.RunnerAnnounced(runner.announcement())));
         }
       }
     }
-    hosts.values().stream().filter(ModelHost::running).forEach(ModelHost::tick);
+    hosts.values().stream().filter(ModelHost::isRunning).forEach(ModelHost::tick);
   }
 
   /** Everything arrives, and time passes. */
-  void calm(int millis) {
+  void runWithoutFaults(int millis) {
     for (int passed = 0; passed < millis; passed += 50) {
       deliverAll();
       advance(50);
@@ -130,26 +131,26 @@
   }
 
   void deliverAll() {
-    for (int i = bag.size(); i > 0 && !bag.isEmpty(); i--) {
-      bag.remove(0).run();
+    for (int i = inFlight.size(); i > 0 && !inFlight.isEmpty(); i--) {
+      inFlight.remove(0).run();
     }
   }
 
   void deliver(int index, boolean keep) {
-    if (!bag.isEmpty()) {
-      int at = index % bag.size();
-      Runnable item = keep ? bag.get(at) : bag.remove(at);
+    if (!inFlight.isEmpty()) {
+      int at = index % inFlight.size();
+      Runnable item = keep ? inFlight.get(at) : inFlight.remove(at);
       item.run();
     }
   }
 
   /** Loses a message; the connection that carried it is reset, which both ends notice. */
-  void lose(int index) {
-    if (!bag.isEmpty()) {
-      bag.remove(index % bag.size());
+  void dropMessage(int index) {
+    if (!inFlight.isEmpty()) {
+      inFlight.remove(index % inFlight.size());
       for (ModelHost host : hosts.values()) {
         for (String other : hosts.keySet()) {
-          later(host, () -> host.enter(new EntryEvent.PeerReset(other)));
+          enqueue(host, () -> host.enter(new EntryEvent.PeerReset(other)));
         }
       }
     }
@@ -157,7 +158,7 @@
 
   void submit(int hostIndex, int keyIndex, boolean otherContent) {
     ModelHost host = host(hostIndex);
-    if (!host.running() || host.membership.draining()) {
+    if (!host.isRunning() || host.membership.isDraining()) {
       return;
     }
     boolean guarded = keyIndex % 2 == 0;
@@ -169,7 +170,7 @@
     }
     String digest = "digest-" + (otherContent ? "other" : "own");
     String job = guarded ? "booking" : "check";
-    JobRequest request = new JobRequest(key, digest, job, tasks, DEADLINE, true);
+    JobRequest request = new JobRequest(key, digest, job, tasks, DEADLINE_MILLIS, true);
     lastTicket++;
     tickets.put(lastTicket, new Ticket(request, host.name, now));
     trace("submit " + key + " at " + host.name + " ticket " + lastTicket);
@@ -178,23 +179,23 @@
 
   void cancel(int hostIndex, int keyIndex) {
     ModelHost host = host(hostIndex);
-    if (host.running()) {
+    if (host.isRunning()) {
       SubmissionKey key = new SubmissionKey(keyIndex % 3 == 0 ? "a" : "b", "k" + keyIndex);
       lastTicket++;
-      asks.put(lastTicket, host.name);
-      host.enter(new EntryEvent.Cancelled(lastTicket, key, DEADLINE));
+      pendingCancellations.put(lastTicket, host.name);
+      host.enter(new EntryEvent.Cancelled(lastTicket, key, DEADLINE_MILLIS));
     }
   }
 
   void crash(int hostIndex) {
     ModelHost host = host(hostIndex);
-    disturbed = true;
+    mayRepeatIdempotentTasks = true;
     host.down = true;
     trace("crash " + host.name);
-    asks.values().removeIf(host.name::equals);
+    pendingCancellations.values().removeIf(host.name::equals);
     tickets.values().stream()
         .filter(ticket -> ticket.host.equals(host.name))
-        .forEach(ticket -> ticket.lost = true);
+        .forEach(ticket -> ticket.connectionLost = true);
   }
 
   void restart(int hostIndex) {
@@ -206,7 +207,7 @@
   }
 
   void restartRunner(int index) {
-    disturbed = true;
+    mayRepeatIdempotentTasks = true;
     trace("restart runner " + runners.get(index % runners.size()).name);
     runners.get(index % runners.size()).restart();
   }
@@ -214,22 +215,22 @@
   /** A planned stop and a new start; the process ends only once nothing is in flight. */
   void rollingRestart(int hostIndex) {
     ModelHost host = host(hostIndex);
-    if (!host.running()) {
+    if (!host.isRunning()) {
       return;
     }
     trace("drain " + host.name);
     host.drain();
-    for (int i = 0; i < 400 && !host.idle(); i++) {
+    for (int i = 0; i < 400 && !host.isIdle(); i++) {
       deliverAll();
       advance(50);
     }
-    if (!host.idle()) {
+    if (!host.isIdle()) {
       throw new AssertionError("a planned stop of " + host.name + " cuts off requests" + trace);
     }
     deliverAll();
     host.restart();
     // Operators go on to the next host once this one is ready again.
-    calm(600);
+    runWithoutFaults(600);
   }
 
   ModelHost host(int index) {
@@ -237,7 +238,7 @@
   }
 
   /** Ends all faults; every caller must then have its answer. */
-  void heal() {
+  void healAndCheckAnswers() {
     partitioned = false;
     ledgerDown = false;
     hosts.values().forEach(host -> host.frozen = false);
@@ -245,38 +246,38 @@
       restart(i);
     }
     runners.forEach(runner -> runner.down = false);
-    calm(30_000);
-    if (!asks.isEmpty()) {
-      throw new AssertionError("cancellations without an answer: " + asks + trace);
+    runWithoutFaults(30_000);
+    if (!pendingCancellations.isEmpty()) {
+      throw new AssertionError("cancellations without an answer: " + pendingCancellations + trace);
     }
     tickets.forEach(
         (id, ticket) -> {
-          if (ticket.outcome == null && !ticket.lost) {
+          if (ticket.outcome == null && !ticket.connectionLost) {
             throw new AssertionError("ticket " + id + " has no answer: " + ticket.request + trace);
           }
         });
   }
 
   /** Oracle: a guarded task begins once at most, any task once unless something died. */
-  void began(AttemptId attempt, String payload) {
+  void recordStart(AttemptId attempt, String payload) {
     trace("began " + attempt);
-    int times = begun.merge(payload, 1, Integer::sum);
-    begunJobs.putIfAbsent(attempt.key(), now);
+    int times = startsByPayload.merge(payload, 1, Integer::sum);
+    firstStartByKey.putIfAbsent(attempt.key(), now);
     boolean guarded = Integer.parseInt(attempt.key().submission().substring(1)) % 2 == 0;
-    if (times > 1 && (guarded || !disturbed)) {
+    if (times > 1 && (guarded || !mayRepeatIdempotentTasks)) {
       throw new AssertionError(attempt + " begins task '" + payload + "' again" + trace);
     }
   }
 
   /** Oracle: one whole answer to the own request, and "not run" only if nothing began. */
-  void answered(ModelHost host, EntryEffect.Answer answer) {
-    asks.remove(answer.ticket());
+  void recordAnswer(ModelHost host, EntryEffect.Answer answer) {
+    pendingCancellations.remove(answer.ticket());
     Ticket ticket = tickets.get(answer.ticket());
-    if (ticket == null || ticket.lost) {
+    if (ticket == null || ticket.connectionLost) {
       return;
     }
     answers++;
-    trace("answer " + answer.ticket() + " " + answer.outcome().word());
+    trace("answer " + answer.ticket() + " " + answer.outcome().code());
     if (ticket.outcome != null) {
       throw new AssertionError("ticket " + answer.ticket() + " is answered twice" + trace);
     }
@@ -298,9 +299,10 @@
         }
       }
       case JobOutcome.Failed failed -> {
-        Long began = begunJobs.get(answer.key());
-        boolean ran = began != null && (began < ticket.submittedAt || !overlapped(ticket));
-        if (failed.kind().promise() == RunPromise.NOT_RUN && ran) {
+        Long began = firstStartByKey.get(answer.key());
+        boolean ran =
+            began != null && (began < ticket.submittedAt || !hasOverlappingRequest(ticket));
+        if (failed.kind().runGuarantee() == RunGuarantee.NOT_RUN && ran) {
           throw new AssertionError(
               "ticket " + answer.ticket() + " of " + answer.key() + " hears " + failed + trace);
         }
@@ -309,7 +311,7 @@
   }
 
   /** Returns whether the caller had another request with the same key under way meanwhile. */
-  private boolean overlapped(Ticket ticket) {
+  private boolean hasOverlappingRequest(Ticket ticket) {
     return tickets.values().stream()
         .anyMatch(
             other ->
@@ -321,11 +323,11 @@
   void send(ModelHost from, String to, PeerMessage message) {
     ModelHost target = hosts.get(to);
     long fromIncarnation = from.incarnation;
-    if (quiet && message instanceof PeerMessage.Heartbeat && target.running()) {
+    if (reliableAnnouncements && message instanceof PeerMessage.Heartbeat && target.isRunning()) {
       target.receive(from.name, message);
       return;
     }
-    bag.add(
+    inFlight.add(
         () -> {
           boolean cut = partitioned && !from.domain.equals(target.domain);
           if (target.frozen) {
@@ -333,16 +335,16 @@
           } else if (!cut && !target.down && from.incarnation == fromIncarnation) {
             target.receive(from.name, message);
           } else if (!target.down) {
-            later(target, () -> target.enter(new EntryEvent.PeerReset(from.name)));
+            enqueue(target, () -> target.enter(new EntryEvent.PeerReset(from.name)));
           }
         });
   }
 
   /** Carries out what leaves the host: calls to runners and proposals to the ledger. */
-  void external(ModelHost host, DispatchEffect effect) {
+  void execute(ModelHost host, DispatchEffect effect) {
     switch (effect) {
       case DispatchEffect.StartAttempt start ->
-          bag.add(
+          inFlight.add(
               () -> {
                 ModelRunner runner = runner(start.address());
                 AttemptOutcome outcome = runner.start(start);
@@ -350,20 +352,21 @@
                   answerStart(runner, start, outcome);
                 }
               });
-      case DispatchEffect.AskAttempt ask ->
-          bag.add(
+      case DispatchEffect.QueryAttempt ask ->
+          inFlight.add(
               () -> {
-                AttemptStatus status = runner(ask.address()).ask(ask);
-                later(
+                AttemptStatus status = runner(ask.address()).query(ask);
+                enqueue(
                     host,
                     () ->
                         host.dispatch(
-                            new DispatchEvent.AttemptAsked(ask.attempt(), ask.runner(), status)));
+                            new DispatchEvent.AttemptQueried(ask.attempt(), ask.runner(), status)));
               });
       case DispatchEffect.CancelAttempts cancel ->
-          bag.add(() -> runner(cancel.address()).cancel(cancel.attempts()));
-      case DispatchEffect.FenceRunner fence -> bag.add(() -> fence(host, fence));
-      case DispatchEffect.ProposeLedger propose -> bag.add(() -> propose(host, propose.request()));
+          inFlight.add(() -> runner(cancel.address()).cancel(cancel.attempts()));
+      case DispatchEffect.FenceRunner fence -> inFlight.add(() -> fence(host, fence));
+      case DispatchEffect.ProposeLedger propose ->
+          inFlight.add(() -> propose(host, propose.request()));
       default -> throw new AssertionError(effect);
     }
   }
@@ -372,7 +375,7 @@
   void answerStart(ModelRunner runner, DispatchEffect.StartAttempt call, AttemptOutcome outcome) {
     for (ModelHost host : hosts.values()) {
       if (host.domain.equals(runner.domain) && host.dispatcher.epoch() == call.epoch()) {
-        later(
+        enqueue(
             host,
             () ->
                 host.dispatch(
@@ -381,7 +384,7 @@
     }
   }
 
-  void note(String host, DispatchEffect.Note note) {
+  void logEvent(String host, DispatchEffect.LogEvent note) {
     trace(host + " " + note.event() + " " + note.fields());
   }
 
@@ -393,13 +396,13 @@
     List<AttemptReport> inventory = runner.fence(fence.epoch());
     if (inventory == null) {
       long higher = runner.epoch();
-      later(host, () -> host.run(host.membership.fenced(higher, now)));
+      enqueue(host, () -> host.apply(host.membership.handleHigherEpoch(higher, now)));
     } else {
-      later(
+      enqueue(
           host,
           () ->
               host.dispatch(
-                  new DispatchEvent.RunnerInventoried(fence.runner(), fence.epoch(), inventory)));
+                  new DispatchEvent.RunnerFenced(fence.runner(), fence.epoch(), inventory)));
     }
   }
 
@@ -410,27 +413,27 @@
         reachable
             ? ledger.apply(new LedgerCommand(host.domain, request), now)
             : new LedgerReply.Unavailable();
-    later(host, () -> host.dispatch(new DispatchEvent.LedgerAnswered(request, reply)));
+    enqueue(host, () -> host.dispatch(new DispatchEvent.LedgerAnswered(request, reply)));
   }
 
-  private void soon(ModelHost host, Runnable item) {
-    if (quiet) {
+  private void announceOrEnqueue(ModelHost host, Runnable item) {
+    if (reliableAnnouncements) {
       item.run();
     } else {
-      later(host, item);
+      enqueue(host, item);
     }
   }
 
   /** Queues something for a host; it is lost if the host dies before. */
-  private void later(ModelHost host, Runnable item) {
+  private void enqueue(ModelHost host, Runnable item) {
     long incarnation = host.incarnation;
-    bag.add(
+    inFlight.add(
         () -> {
           if (host.incarnation != incarnation || host.down) {
             return;
           }
           if (host.frozen) {
-            later(host, item);
+            enqueue(host, item);
           } else {
             item.run();
           }
@@ -453,7 +456,7 @@
     private JobOutcome outcome;
 
     /** Whether the host that the caller waited at is gone, and the connection with it. */
-    private boolean lost;
+    private boolean connectionLost;
 
     private long answeredAt = Long.MAX_VALUE;
 
--- a/burdockbay-core/src/test/java/org/burdockbay/core/dispatch/DispatcherTest.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/dispatch/DispatcherTest.java
@@ -76,8 +76,8 @@
     announce("r1", 1, false);
     announce("r2", 1, false);
     takeOver(9, List.of(), List.of());
-    inventory("r1", List.of());
-    inventory("r2", List.of());
+    completeFencing("r1", List.of());
+    completeFencing("r2", List.of());
     tick(10);
   }
 
@@ -91,7 +91,7 @@
     submit("check", "k", "x", Arrival.FIRST);
     List<DispatchEffect.StartAttempt> starts = starts();
     assertEquals(starts.size(), 1);
-    end(starts.getFirst(), new AttemptOutcome.Succeeded("1"));
+    endAttempt(starts.getFirst(), new AttemptOutcome.Succeeded("1"));
     submit("check", "k", "x", Arrival.FIRST);
     assertEquals(starts().size(), 1);
     assertEquals(reports().size(), 2);
@@ -106,12 +106,12 @@
   @Test
   public void failsWholeJobsWithoutPartialAnswers() {
     submitTasks("booking", "k", List.of("x", "y"));
-    grantAll();
+    grantProposals();
     List<DispatchEffect.StartAttempt> starts = starts();
     assertEquals(starts.size(), 2);
-    end(starts.get(0), new AttemptOutcome.Succeeded("1"));
-    end(starts.get(1), new AttemptOutcome.Failed("no"));
-    grantAll();
+    endAttempt(starts.get(0), new AttemptOutcome.Succeeded("1"));
+    endAttempt(starts.get(1), new AttemptOutcome.Failed("no"));
+    grantProposals();
     JobOutcome outcome = reports().getLast().outcome();
     assertEquals(((JobOutcome.Failed) outcome).kind(), ErrorKind.TASK_FAILED);
   }
@@ -121,10 +121,10 @@
    * which finds no record, starts it again. Nothing may start before the ledger has granted it.
    */
   @Test
-  public void startsNoGuardedTaskBeforeTheLedgerGrants() {
+  public void startsNoAtMostOnceTaskBeforeTheLedgerGrants() {
     submit("booking", "k", "x", Arrival.FIRST);
     assertTrue(starts().isEmpty());
-    grantAll();
+    grantProposals();
     assertEquals(starts().size(), 1);
   }
 
@@ -133,7 +133,7 @@
    * that doesn't claim "not run", while price checks go on.
    */
   @Test
-  public void refusesGuardedJobsAndServesOthersWithoutQuorum() {
+  public void refusesAtMostOnceJobsAndServesOthersWithoutQuorum() {
     submit("booking", "k", "x", Arrival.FIRST);
     for (LedgerRequest request : proposals()) {
       if (request instanceof LedgerRequest.Open) {
@@ -152,19 +152,19 @@
    * is asked over a new connection, and its answer counts.
    */
   @Test
-  public void asksAfterSilentAttemptsInsteadOfRunningThemAgain() {
+  public void queriesSilentAttemptsInsteadOfStartingThemAgain() {
     submit("booking", "k", "x", Arrival.FIRST);
-    grantAll();
+    grantProposals();
     DispatchEffect.StartAttempt start = starts().getFirst();
     tick(1_500);
-    List<DispatchEffect.AskAttempt> asks = all(DispatchEffect.AskAttempt.class);
+    List<DispatchEffect.QueryAttempt> asks = effectsOf(DispatchEffect.QueryAttempt.class);
     assertEquals(asks.size(), 1);
     handle(
-        new DispatchEvent.AttemptAsked(
+        new DispatchEvent.AttemptQueried(
             start.attempt(),
             start.runner(),
             new AttemptStatus.Finished(new AttemptOutcome.Succeeded("1"))));
-    grantAll();
+    grantProposals();
     assertEquals(starts().size(), 1);
     assertEquals(reports().getLast().outcome(), new JobOutcome.Completed(List.of("1")));
   }
@@ -174,11 +174,11 @@
    * reported as unknown and not be run on another runner.
    */
   @Test
-  public void reportsGuardedTasksOfLostRunnersAsUnknown() {
+  public void reportsAtMostOnceTasksOfLostRunnersAsUnknown() {
     submit("booking", "k", "x", Arrival.FIRST);
-    grantAll();
+    grantProposals();
     announce(starts().getFirst().runner().name(), 2, false);
-    grantAll();
+    grantProposals();
     assertEquals(starts().size(), 1);
     JobOutcome.Failed failed = (JobOutcome.Failed) reports().getLast().outcome();
     assertEquals(failed.kind(), ErrorKind.OUTCOME_UNKNOWN);
@@ -195,7 +195,7 @@
     }
     assertTrue(
         starts().stream().skip(1).noneMatch(start -> start.runner().equals(running.runner())));
-    end(running, new AttemptOutcome.Succeeded("1"));
+    endAttempt(running, new AttemptOutcome.Succeeded("1"));
     assertEquals(reports().getFirst().outcome(), new JobOutcome.Completed(List.of("1")));
   }
 
@@ -212,11 +212,12 @@
           starts().subList(starts().size() - 1, starts().size())) {
         boolean bad = start.runner().name().equals("r1");
         onBad += bad ? 1 : 0;
-        end(start, bad ? new AttemptOutcome.Failed("no") : new AttemptOutcome.Succeeded("1"));
+        endAttempt(
+            start, bad ? new AttemptOutcome.Failed("no") : new AttemptOutcome.Succeeded("1"));
       }
       starts().stream()
-          .filter(start -> dispatcherRuns(start))
-          .forEach(start -> end(start, new AttemptOutcome.Succeeded("1")));
+          .filter(start -> isUnreported(start))
+          .forEach(start -> endAttempt(start, new AttemptOutcome.Succeeded("1")));
     }
     assertTrue(onBad <= 4, "starts on the failing runner: " + onBad);
   }
@@ -229,10 +230,10 @@
   public void ejectsNoRunnerForJobsThatFailEverywhere() {
     for (int i = 0; i < 30; i++) {
       submit("booking", "bad" + i, "x", Arrival.FIRST);
-      grantAll();
+      grantProposals();
       DispatchEffect.StartAttempt start = starts().getLast();
-      end(start, new AttemptOutcome.Failed("bad"));
-      grantAll();
+      endAttempt(start, new AttemptOutcome.Failed("bad"));
+      grantProposals();
     }
     assertEquals(dispatcher.snapshot().ejectedRunners(), 0);
   }
@@ -244,8 +245,8 @@
   @Test
   public void stepsDownWhenFenced() {
     submit("check", "k", "x", Arrival.FIRST);
-    end(starts().getFirst(), new AttemptOutcome.Fenced(12));
-    assertEquals(all(DispatchEffect.StepDown.class).getFirst().higherEpoch(), 12);
+    endAttempt(starts().getFirst(), new AttemptOutcome.Fenced(12));
+    assertEquals(effectsOf(DispatchEffect.StepDown.class).getFirst().higherEpoch(), 12);
   }
 
   /**
@@ -253,17 +254,17 @@
    * result was dropped and the task started a second time.
    */
   @Test
-  public void keepsResultsOfAttemptsThatNobodyTookOverYet() {
+  public void retainsResultsOfOrphanedAttempts() {
     handle(new DispatchEvent.EpochLost());
     takeOver(10, List.of(), List.of());
     AttemptId attempt = AttemptId.of(request("check", "k", List.of("\"x\"")), 0, 1);
-    inventory("r1", List.of(new AttemptReport(attempt, new AttemptStatus.Running())));
+    completeFencing("r1", List.of(new AttemptReport(attempt, new AttemptStatus.Running())));
     handle(
-        new DispatchEvent.AttemptAsked(
+        new DispatchEvent.AttemptQueried(
             attempt,
             new RunnerId("r1", 1),
             new AttemptStatus.Finished(new AttemptOutcome.Succeeded("1"))));
-    inventory("r2", List.of());
+    completeFencing("r2", List.of());
     tick(10);
     submit("check", "k", "x", Arrival.RESENT);
     assertTrue(starts().isEmpty());
@@ -275,25 +276,25 @@
    * successor can't tell whether the booking ran there, so it must not start it.
    */
   @Test
-  public void neverRestartsGuardedTasksThatLostRunnersMayHaveRun() {
+  public void neverRestartsAtMostOnceTasksThatLostRunnersMayHaveRun() {
     handle(new DispatchEvent.EpochLost());
     SubmissionKey key = new SubmissionKey("a", "k");
     takeOver(
         10,
         List.of(new RunnerId("gone", 1)),
         List.of(new LedgerReply.OpenSubmission(key, "digest-x", 1)));
-    inventory("r1", List.of());
-    inventory("r2", List.of());
+    completeFencing("r1", List.of());
+    completeFencing("r2", List.of());
     tick(10);
     submit("booking", "k", "x", Arrival.RESENT);
-    grantAll();
+    grantProposals();
     assertTrue(starts().isEmpty(), "before the roster is complete");
     for (int i = 0; i < 6; i++) {
       announce("r1", 1, false);
       announce("r2", 1, false);
       tick(1_000);
     }
-    grantAll();
+    grantProposals();
     assertTrue(starts().isEmpty(), "after the lost runner is written off");
     JobOutcome.Failed failed = (JobOutcome.Failed) reports().getLast().outcome();
     assertEquals(failed.kind(), ErrorKind.OUTCOME_UNKNOWN);
@@ -304,7 +305,7 @@
    * refused for a backlog that isn't its own.
    */
   @Test
-  public void letsNoCallerStarveAnother() {
+  public void servesOtherCallersWhileOneFloodsTheQueue() {
     for (int i = 0; i < 40; i++) {
       submit("check", "flood" + i, "x", Arrival.FIRST);
     }
@@ -312,8 +313,8 @@
         new JobRequest(
             new SubmissionKey("b", "light"), "digest-x", "check", List.of("\"x\""), 5_000, true);
     handle(new DispatchEvent.JobSubmitted(light, "h", Arrival.FIRST));
-    end(starts().getFirst(), new AttemptOutcome.Succeeded("1"));
-    end(starts().get(1), new AttemptOutcome.Succeeded("1"));
+    endAttempt(starts().getFirst(), new AttemptOutcome.Succeeded("1"));
+    endAttempt(starts().get(1), new AttemptOutcome.Succeeded("1"));
     assertTrue(
         starts().stream().anyMatch(start -> start.attempt().key().caller().equals("b")),
         "the light caller is served within two starts");
@@ -321,7 +322,7 @@
 
   /** A job that can't make its deadline is refused at once, with a time to come back. */
   @Test
-  public void refusesAtOnceWhatCannotMakeItsDeadline() {
+  public void refusesJobsThatWouldMissTheirDeadline() {
     for (int i = 0; i < 40; i++) {
       submit("check", "k" + i, "x", Arrival.FIRST);
     }
@@ -339,7 +340,7 @@
    * stopped with one message to each runner.
    */
   @Test
-  public void cancelsWavesWithOneMessageForEachRunner() {
+  public void cancelsManyJobsWithOneMessagePerRunner() {
     for (int i = 0; i < 20; i++) {
       submit("check", "k" + i, "x", Arrival.FIRST);
     }
@@ -348,12 +349,12 @@
       handle(new DispatchEvent.JobCancelled(new SubmissionKey("a", "k" + i), "h"));
     }
     tick(10);
-    List<DispatchEffect.CancelAttempts> cancels = all(DispatchEffect.CancelAttempts.class);
+    List<DispatchEffect.CancelAttempts> cancels = effectsOf(DispatchEffect.CancelAttempts.class);
     assertEquals(cancels.size(), 2);
     assertEquals(cancels.stream().mapToInt(cancel -> cancel.attempts().size()).sum(), 4);
     assertEquals(dispatcher.snapshot().waitingTasks(), 0);
     tick(10);
-    assertEquals(all(DispatchEffect.CancelAttempts.class).size(), 2, "nothing is sent again");
+    assertEquals(effectsOf(DispatchEffect.CancelAttempts.class).size(), 2, "nothing is sent again");
   }
 
   /**
@@ -367,7 +368,7 @@
     for (int i = 0; i < jobs; i++) {
       submit("check", "k" + i, "x", Arrival.FIRST);
       while (ended < starts().size()) {
-        end(starts().get(ended), new AttemptOutcome.Failed("no"));
+        endAttempt(starts().get(ended), new AttemptOutcome.Failed("no"));
         ended++;
       }
     }
@@ -380,7 +381,7 @@
     for (int i = 0; i < 30; i++) {
       submit("hedged", "k" + i, "x", Arrival.FIRST);
       now += 100;
-      end(starts().getLast(), new AttemptOutcome.Succeeded("1"));
+      endAttempt(starts().getLast(), new AttemptOutcome.Succeeded("1"));
       announce("r1", 1, false);
       announce("r2", 1, false);
     }
@@ -391,13 +392,14 @@
     DispatchEffect.StartAttempt second = starts().getLast();
     assertFalse(second.runner().equals(slow.runner()));
     assertEquals(second.attempt().key(), slow.attempt().key());
-    end(second, new AttemptOutcome.Succeeded("2"));
+    endAttempt(second, new AttemptOutcome.Succeeded("2"));
     tick(10);
     assertEquals(
-        all(DispatchEffect.CancelAttempts.class).getLast().attempts(), List.of(slow.attempt()));
+        effectsOf(DispatchEffect.CancelAttempts.class).getLast().attempts(),
+        List.of(slow.attempt()));
   }
 
-  private boolean dispatcherRuns(DispatchEffect.StartAttempt start) {
+  private boolean isUnreported(DispatchEffect.StartAttempt start) {
     return reports().stream().noneMatch(report -> report.key().equals(start.attempt().key()));
   }
 
@@ -421,9 +423,8 @@
             new LedgerRequest.Register(epoch), new LedgerReply.Registered(roster, open)));
   }
 
-  private void inventory(String runner, List<AttemptReport> attempts) {
-    handle(
-        new DispatchEvent.RunnerInventoried(new RunnerId(runner, 1), dispatcher.epoch(), attempts));
+  private void completeFencing(String runner, List<AttemptReport> attempts) {
+    handle(new DispatchEvent.RunnerFenced(new RunnerId(runner, 1), dispatcher.epoch(), attempts));
     handle(
         new DispatchEvent.LedgerAnswered(
             new LedgerRequest.AddRunner(dispatcher.epoch(), new RunnerId(runner, 1)),
@@ -437,12 +438,12 @@
                 new RunnerId(name, incarnation), name, Set.of("desk"), Set.of(), 2, leaving)));
   }
 
-  private void end(DispatchEffect.StartAttempt start, AttemptOutcome outcome) {
+  private void endAttempt(DispatchEffect.StartAttempt start, AttemptOutcome outcome) {
     handle(new DispatchEvent.AttemptEnded(start.attempt(), start.runner(), outcome));
   }
 
   /** Grants whatever was proposed about submissions and not answered yet. */
-  private void grantAll() {
+  private void grantProposals() {
     for (LedgerRequest request : proposals()) {
       if (request instanceof LedgerRequest.Open || request instanceof LedgerRequest.Close) {
         handle(new DispatchEvent.LedgerAnswered(request, new LedgerReply.Granted()));
@@ -453,7 +454,7 @@
 
   private void tick(long millis) {
     now += millis;
-    handle(new DispatchEvent.DomainLoads(Map.of()));
+    handle(new DispatchEvent.DomainLoadsReported(Map.of()));
     handle(new DispatchEvent.Tick());
   }
 
@@ -462,20 +463,20 @@
   }
 
   private List<DispatchEffect.StartAttempt> starts() {
-    return all(DispatchEffect.StartAttempt.class);
+    return effectsOf(DispatchEffect.StartAttempt.class);
   }
 
   private List<DispatchEffect.ReportJob> reports() {
-    return all(DispatchEffect.ReportJob.class);
+    return effectsOf(DispatchEffect.ReportJob.class);
   }
 
   private List<LedgerRequest> proposals() {
-    return all(DispatchEffect.ProposeLedger.class).stream()
+    return effectsOf(DispatchEffect.ProposeLedger.class).stream()
         .map(DispatchEffect.ProposeLedger::request)
         .toList();
   }
 
-  private <T extends DispatchEffect> List<T> all(Class<T> type) {
+  private <T extends DispatchEffect> List<T> effectsOf(Class<T> type) {
     return effects.stream().filter(type::isInstance).map(type::cast).toList();
   }
 }
--- a/burdockbay-core/src/test/java/org/burdockbay/core/dispatch/ModelHost.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/dispatch/ModelHost.java
@@ -25,9 +25,9 @@
   EntryGateway gateway;
   Dispatcher dispatcher;
   private final DispatchModel model;
-  private final Map<String, String> domains;
+  private final Map<String, String> domainsByHost;
   private final DispatchConfiguration configuration;
-  private long heartbeatAt;
+  private long nextHeartbeatAt;
 
   ModelHost(
       DispatchModel model,
@@ -37,12 +37,12 @@
     this.model = model;
     this.name = name;
     this.domain = domains.get(name);
-    this.domains = domains;
+    this.domainsByHost = domains;
     this.configuration = configuration;
     restart();
   }
 
-  boolean running() {
+  boolean isRunning() {
     return !down && !frozen;
   }
 
@@ -50,7 +50,7 @@
     incarnation++;
     down = false;
     frozen = false;
-    membership = new Membership(name, domains, model.now());
+    membership = new Membership(name, domainsByHost, model.now());
     gateway = new EntryGateway(domain);
     try {
       dispatcher = new Dispatcher(domain);
@@ -72,9 +72,9 @@
         case DispatchEffect.ReturnJob returned ->
             send(returned.host(), new PeerMessage.ReturnJob(returned.key()));
         case DispatchEffect.StepDown stepDown ->
-            run(membership.fenced(stepDown.higherEpoch(), model.now()));
-        case DispatchEffect.Note note -> model.note(name, note);
-        default -> model.external(this, effect);
+            apply(membership.handleHigherEpoch(stepDown.higherEpoch(), model.now()));
+        case DispatchEffect.LogEvent note -> model.logEvent(name, note);
+        default -> model.execute(this, effect);
       }
     }
   }
@@ -88,7 +88,7 @@
             send(follow.host(), new PeerMessage.FollowJob(follow.key()));
         case EntryEffect.SendCancel cancel ->
             send(cancel.host(), new PeerMessage.CancelJob(cancel.key()));
-        case EntryEffect.Answer answer -> model.answered(this, answer);
+        case EntryEffect.Answer answer -> model.recordAnswer(this, answer);
       }
     }
   }
@@ -96,7 +96,7 @@
   void receive(String from, PeerMessage message) {
     switch (message) {
       case PeerMessage.Heartbeat heartbeat ->
-          run(membership.heartbeat(heartbeat.status(), model.now()));
+          apply(membership.heartbeat(heartbeat.status(), model.now()));
       case PeerMessage.SubmitJob submit ->
           dispatch(new DispatchEvent.JobSubmitted(submit.request(), from, submit.arrival()));
       case PeerMessage.FollowJob follow ->
@@ -113,35 +113,36 @@
   }
 
   void tick() {
-    run(membership.tick(model.now()));
+    apply(membership.tick(model.now()));
     dispatch(new DispatchEvent.Tick());
     enter(new EntryEvent.Tick());
-    if (model.now() >= heartbeatAt) {
-      heartbeat();
+    if (model.now() >= nextHeartbeatAt) {
+      sendHeartbeat();
     }
   }
 
   void drain() {
-    run(membership.drain(model.now()));
-    heartbeat();
+    apply(membership.drain(model.now()));
+    sendHeartbeat();
   }
 
-  boolean idle() {
-    return gateway.waiting() == 0 && dispatcher.snapshot().unfinishedJobs() == 0;
+  boolean isIdle() {
+    return gateway.pendingCount() == 0 && dispatcher.snapshot().unfinishedJobs() == 0;
   }
 
-  void run(List<MembershipEffect> effects) {
+  void apply(List<MembershipEffect> effects) {
     for (MembershipEffect effect : effects) {
       switch (effect) {
         case MembershipEffect.Claim claim -> {
           dispatch(new DispatchEvent.EpochGranted(claim.epoch()));
-          heartbeat();
+          sendHeartbeat();
         }
         case MembershipEffect.Yield yield -> {
           dispatch(new DispatchEvent.EpochLost());
-          heartbeat();
+          sendHeartbeat();
         }
-        case MembershipEffect.Routes routes -> enter(new EntryEvent.RoutesChanged(routes.view()));
+        case MembershipEffect.RoutesChanged routes ->
+            enter(new EntryEvent.RoutesChanged(routes.view()));
         case MembershipEffect.LayoutChanged changed -> {}
         case MembershipEffect.HostLost lost -> {}
         case MembershipEffect.HostFound found -> {}
@@ -149,8 +150,8 @@
     }
   }
 
-  private void heartbeat() {
-    heartbeatAt = model.now() + 250;
+  private void sendHeartbeat() {
+    nextHeartbeatAt = model.now() + 250;
     HostStatus status =
         new HostStatus(
             name,
@@ -160,19 +161,19 @@
             1,
             membership.claimedEpoch(),
             membership.highestEpoch(),
-            membership.draining(),
+            membership.isDraining(),
             "",
             dispatcher.load());
-    domains.keySet().stream()
+    domainsByHost.keySet().stream()
         .filter(other -> !other.equals(name))
         .forEach(other -> send(other, new PeerMessage.Heartbeat(status)));
     Map<String, DomainLoad> loads = new HashMap<>();
-    for (HostStatus other : membership.live()) {
+    for (HostStatus other : membership.liveHosts()) {
       if (!other.domain().equals(domain) && other.dispatcherEpoch() != 0 && !other.draining()) {
         loads.put(other.domain(), other.load());
       }
     }
-    dispatch(new DispatchEvent.DomainLoads(loads));
+    dispatch(new DispatchEvent.DomainLoadsReported(loads));
   }
 
   private void send(String to, PeerMessage message) {
--- a/burdockbay-core/src/test/java/org/burdockbay/core/dispatch/ModelRunner.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/dispatch/ModelRunner.java
@@ -17,14 +17,14 @@
 final class ModelRunner {
 
   static final int SLOTS = 2;
-  private static final long SHORTEST_RUN = 60;
+  private static final long MIN_RUN_MILLIS = 60;
 
   final String name;
   final String domain;
   boolean down;
   private final DispatchModel model;
   private final Map<AttemptId, Run> runs = new HashMap<>();
-  private final Set<AttemptId> forbidden = new HashSet<>();
+  private final Set<AttemptId> refusedAttempts = new HashSet<>();
   private long incarnation = 1;
   private long epoch;
 
@@ -47,7 +47,7 @@
   void restart() {
     incarnation++;
     runs.clear();
-    forbidden.clear();
+    refusedAttempts.clear();
     epoch = 0;
   }
 
@@ -62,30 +62,30 @@
     epoch = call.epoch();
     Run known = runs.get(call.attempt());
     if (known != null) {
-      known.callers.add(call);
+      known.startCalls.add(call);
       return known.outcome;
     }
-    if (forbidden.contains(call.attempt())) {
+    if (refusedAttempts.contains(call.attempt())) {
       return new AttemptOutcome.Rejected("asked after before it arrived");
     }
-    if (running() >= SLOTS) {
+    if (runningCount() >= SLOTS) {
       return new AttemptOutcome.Rejected("busy");
     }
-    long millis = SHORTEST_RUN + Math.floorMod(call.attempt().hashCode(), 300);
+    long millis = MIN_RUN_MILLIS + Math.floorMod(call.attempt().hashCode(), 300);
     Run run = new Run(call.payload(), model.now() + millis);
-    run.callers.add(call);
+    run.startCalls.add(call);
     runs.put(call.attempt(), run);
-    model.began(call.attempt(), call.payload());
+    model.recordStart(call.attempt(), call.payload());
     return null;
   }
 
-  AttemptStatus ask(DispatchEffect.AskAttempt call) {
+  AttemptStatus query(DispatchEffect.QueryAttempt call) {
     if (down || !call.runner().equals(id())) {
       return new AttemptStatus.Unreachable("down");
     }
     Run run = runs.get(call.attempt());
     if (run == null) {
-      forbidden.add(call.attempt());
+      refusedAttempts.add(call.attempt());
       return new AttemptStatus.NeverBegan();
     }
     return status(run);
@@ -95,7 +95,7 @@
     for (AttemptId attempt : attempts) {
       Run run = runs.get(attempt);
       if (run != null && run.outcome == null) {
-        end(run, new AttemptOutcome.Failed("cancelled"));
+        endRun(run, new AttemptOutcome.Failed("cancelled"));
       }
     }
   }
@@ -120,16 +120,16 @@
     if (!down) {
       List.copyOf(runs.values()).stream()
           .filter(run -> run.outcome == null && run.endsAt <= model.now())
-          .forEach(run -> end(run, new AttemptOutcome.Succeeded("answer to " + run.payload)));
+          .forEach(run -> endRun(run, new AttemptOutcome.Succeeded("answer to " + run.payload)));
     }
   }
 
-  private void end(Run run, AttemptOutcome outcome) {
+  private void endRun(Run run, AttemptOutcome outcome) {
     run.outcome = outcome;
-    run.callers.forEach(call -> model.answerStart(this, call, outcome));
+    run.startCalls.forEach(call -> model.answerStart(this, call, outcome));
   }
 
-  private int running() {
+  private int runningCount() {
     return (int) runs.values().stream().filter(run -> run.outcome == null).count();
   }
 
@@ -143,7 +143,7 @@
 
     private final String payload;
     private final long endsAt;
-    private final List<DispatchEffect.StartAttempt> callers = new ArrayList<>();
+    private final List<DispatchEffect.StartAttempt> startCalls = new ArrayList<>();
     private AttemptOutcome outcome;
 
     Run(String payload, long endsAt) {
--- a/burdockbay-core/src/test/java/org/burdockbay/core/entry/EntryGatewayTest.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/entry/EntryGatewayTest.java
@@ -20,7 +20,7 @@
 public class EntryGatewayTest {
 
   private static final SubmissionKey KEY = new SubmissionKey("clerk", "session-9");
-  private static final JobOutcome DONE = new JobOutcome.Completed(List.of("1"));
+  private static final JobOutcome OUTCOME = new JobOutcome.Completed(List.of("1"));
   private EntryGateway gateway;
   private List<EntryEffect> effects;
   private long now;
@@ -31,7 +31,7 @@
     gateway = new EntryGateway("north");
     effects = new ArrayList<>();
     now = 1_000;
-    routes(Map.of("north", new RouteView.Dispatching("n", 5, false)));
+    routes(Map.of("north", new RouteView.ActiveDispatcher("n", 5, false)));
   }
 
   /**
@@ -43,13 +43,13 @@
     handle(new EntryEvent.Cancelled(1, KEY, 5_000));
     tick(1_000);
     assertTrue(answers().isEmpty());
-    handle(new EntryEvent.Reported(KEY, "", DONE));
-    assertEquals(answers().getFirst().outcome(), DONE);
+    handle(new EntryEvent.Reported(KEY, "", OUTCOME));
+    assertEquals(answers().getFirst().outcome(), OUTCOME);
   }
 
   /** A caller that follows for some time hears at the end of it that the job still runs. */
   @Test
-  public void endsFollowsWithTheirWait() {
+  public void endsFollowsAtTheirWaitTimeout() {
     handle(new EntryEvent.Followed(1, KEY, 500));
     tick(499);
     assertTrue(answers().isEmpty());
@@ -62,13 +62,13 @@
    * may have started, and the caller gets one answer though both report.
    */
   @Test
-  public void sendsJobsAgainWhenTheDispatcherChanges() {
+  public void resendsJobsWhenTheDispatcherChanges() {
     submit(1, "digest");
-    routes(Map.of("north", new RouteView.Dispatching("m", 9, false)));
+    routes(Map.of("north", new RouteView.ActiveDispatcher("m", 9, false)));
     assertEquals(sends().stream().map(EntryEffect.SendJob::host).toList(), List.of("n", "m"));
     assertEquals(sends().getLast().arrival(), Arrival.RESENT);
-    handle(new EntryEvent.Reported(KEY, "digest", DONE));
-    handle(new EntryEvent.Reported(KEY, "digest", DONE));
+    handle(new EntryEvent.Reported(KEY, "digest", OUTCOME));
+    handle(new EntryEvent.Reported(KEY, "digest", OUTCOME));
     assertEquals(answers().size(), 1);
   }
 
@@ -79,14 +79,14 @@
   public void matchesOutcomesByContent() {
     submit(1, "one");
     submit(2, "two");
-    handle(new EntryEvent.Reported(KEY, "two", DONE));
+    handle(new EntryEvent.Reported(KEY, "two", OUTCOME));
     assertEquals(answers().size(), 1);
     assertEquals(answers().getFirst().ticket(), 2);
   }
 
   /** Without any dispatcher a job with an id isn't called "not run": it may have run before. */
   @Test
-  public void givesUpWithoutClaimingNotRun() {
+  public void reportsUnavailableRatherThanNotRunWithoutDispatcher() {
     routes(Map.of());
     submit(1, "digest");
     for (int i = 0; i < 80; i++) {
@@ -102,7 +102,7 @@
     handle(new EntryEvent.Submitted(ticket, request, true));
   }
 
-  private void routes(Map<String, RouteView.Dispatching> dispatchers) {
+  private void routes(Map<String, RouteView.ActiveDispatcher> dispatchers) {
     handle(
         new EntryEvent.RoutesChanged(new RouteView("north", dispatchers, Set.of("north"), true)));
   }
@@ -121,14 +121,14 @@
   }
 
   private List<EntryEffect.Answer> answers() {
-    return all(EntryEffect.Answer.class);
+    return effectsOf(EntryEffect.Answer.class);
   }
 
   private List<EntryEffect.SendJob> sends() {
-    return all(EntryEffect.SendJob.class);
+    return effectsOf(EntryEffect.SendJob.class);
   }
 
-  private <T extends EntryEffect> List<T> all(Class<T> type) {
+  private <T extends EntryEffect> List<T> effectsOf(Class<T> type) {
     return effects.stream().filter(type::isInstance).map(type::cast).toList();
   }
 }
--- a/burdockbay-core/src/test/java/org/burdockbay/core/fleet/UpstreamRegistryTest.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/fleet/UpstreamRegistryTest.java
@@ -15,19 +15,19 @@
 
   /** An announcement that was overtaken must not bring an older state back. */
   @Test
-  public void ignoresAnnouncementsThatWereOvertaken() {
-    assertTrue(registry.announced(notice(1, 5, true), 0, 0));
-    assertFalse(registry.announced(notice(1, 4, false), 0, 10));
-    assertTrue(registry.notices().iterator().next().leaving());
+  public void ignoresOutdatedAnnouncements() {
+    assertTrue(registry.recordAnnouncement(announcement(1, 5, true), 0, 0));
+    assertFalse(registry.recordAnnouncement(announcement(1, 4, false), 0, 10));
+    assertTrue(registry.announcements().iterator().next().leaving());
   }
 
   /** A restarted upstream begins its counts anew; what its earlier life said is out of date. */
   @Test
-  public void prefersTheLaterLife() {
+  public void prefersLaterInstance() {
     UpstreamRegistry fresh = new UpstreamRegistry(6_000);
-    assertTrue(fresh.announced(notice(1, 90, false), 0, 0));
-    assertTrue(fresh.announced(notice(2, 1, false), 0, 10));
-    assertFalse(fresh.announced(notice(1, 91, false), 0, 20));
+    assertTrue(fresh.recordAnnouncement(announcement(1, 90, false), 0, 0));
+    assertTrue(fresh.recordAnnouncement(announcement(2, 1, false), 0, 10));
+    assertFalse(fresh.recordAnnouncement(announcement(1, 91, false), 0, 20));
   }
 
   /**
@@ -37,24 +37,24 @@
   @Test
   public void ignoresAnnouncementsAfterDeparture() {
     UpstreamRegistry fresh = new UpstreamRegistry(6_000);
-    fresh.announced(notice(1, 1, false), 0, 0);
-    assertTrue(fresh.departed("u", 10).isPresent());
-    assertFalse(fresh.announced(notice(1, 2, false), 0, 20));
-    assertTrue(fresh.announced(notice(2, 1, false), 0, 30));
+    fresh.recordAnnouncement(announcement(1, 1, false), 0, 0);
+    assertTrue(fresh.recordDeparture("u", 10).isPresent());
+    assertFalse(fresh.recordAnnouncement(announcement(1, 2, false), 0, 20));
+    assertTrue(fresh.recordAnnouncement(announcement(2, 1, false), 0, 30));
   }
 
   /** Silence drops an upstream once, counted from when it spoke and not from when it was heard. */
   @Test
   public void dropsSilentUpstreams() {
     UpstreamRegistry fresh = new UpstreamRegistry(6_000);
-    fresh.announced(notice(1, 1, false), 4_000, 10_000);
-    assertTrue(fresh.expire(12_000).isEmpty());
-    assertEquals(fresh.expire(12_001).size(), 1);
-    assertTrue(fresh.expire(12_002).isEmpty());
+    fresh.recordAnnouncement(announcement(1, 1, false), 4_000, 10_000);
+    assertTrue(fresh.expireSilentUpstreams(12_000).isEmpty());
+    assertEquals(fresh.expireSilentUpstreams(12_001).size(), 1);
+    assertTrue(fresh.expireSilentUpstreams(12_002).isEmpty());
   }
 
-  private static UpstreamNotice notice(long born, long sequence, boolean leaving) {
-    return new UpstreamNotice(
+  private static UpstreamAnnouncement announcement(long born, long sequence, boolean leaving) {
+    return new UpstreamAnnouncement(
         "u", born, sequence, "desk", "10.0.0.1:80", "north", leaving, TaskSize.ZERO, Set.of());
   }
 }
--- a/burdockbay-core/src/test/java/org/burdockbay/core/intake/WorkIntakeTest.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/intake/WorkIntakeTest.java
@@ -17,7 +17,7 @@
 /** Plays single stories against a {@link WorkIntake}. */
 public class WorkIntakeTest {
 
-  private static final long RUNS_ON = 1_200;
+  private static final long MAX_ORPHANED_RUN_MILLIS = 1_200;
   private static final IntakeEvent.Dispatcher FIRST = new IntakeEvent.Dispatcher("a", 1);
   private static final IntakeEvent.Dispatcher SECOND = new IntakeEvent.Dispatcher("b", 2);
   private static final ShardId NORTH = new ShardId("north", 0);
@@ -41,25 +41,25 @@
   /** Creates an intake without a dispatcher. */
   @BeforeMethod
   public void setUp() {
-    intake = new WorkIntake("self", "north", RUNS_ON);
+    intake = new WorkIntake("self", "north", MAX_ORPHANED_RUN_MILLIS);
     now = 1_000;
   }
 
   /** Work that arrives before the election is over waits for it. */
   @Test
   public void submitsOnceDispatcherIsKnown() {
-    assertTrue(handle(new IntakeEvent.Opened(1, WORK)).isEmpty());
+    assertTrue(handle(new IntakeEvent.RequestReceived(1, WORK)).isEmpty());
     now += 300;
-    IntakeEffect.Submit submit = submits(change(FIRST)).getFirst();
+    IntakeEffect.Submit submit = submits(changeDispatcher(FIRST)).getFirst();
     assertEquals(submit.to(), FIRST);
     assertEquals(submit.ageMillis(), 300);
-    assertEquals(submit.quietMillis(), 0);
+    assertEquals(submit.quietPeriodMillis(), 0);
   }
 
   /** Nobody dispatches for a second: the caller hears at once that nothing has run. */
   @Test
   public void refusesWithoutDispatcher() {
-    handle(new IntakeEvent.Opened(1, WORK));
+    handle(new IntakeEvent.RequestReceived(1, WORK));
     now += 1_000;
     IntakeEffect.Answer answer = answers(handle(new IntakeEvent.Tick())).getFirst();
     assertTrue(answer.outcome() instanceof WorkOutcome.NotRun);
@@ -70,14 +70,14 @@
    * until they are over, counted from when the lost one was heard last.
    */
   @Test
-  public void tellsSuccessorsHowLongToWait() {
-    change(FIRST);
-    handle(new IntakeEvent.Opened(1, WORK));
+  public void passesQuietPeriodToSuccessor() {
+    changeDispatcher(FIRST);
+    handle(new IntakeEvent.RequestReceived(1, WORK));
     now += 100;
-    handle(new IntakeEvent.DispatcherHeard("a"));
+    handle(new IntakeEvent.DispatcherMessageReceived("a"));
     now += 500;
-    IntakeEffect.Submit moved = submits(change(SECOND)).getFirst();
-    assertEquals(moved.quietMillis(), RUNS_ON - 500);
+    IntakeEffect.Submit moved = submits(changeDispatcher(SECOND)).getFirst();
+    assertEquals(moved.quietPeriodMillis(), MAX_ORPHANED_RUN_MILLIS - 500);
   }
 
   /**
@@ -85,31 +85,33 @@
    * knew, and in the same millisecond heard of another one, which started the work at once as well.
    */
   @Test
-  public void tellsSuccessorsToWaitForWhatWasSubmittedAfterStandstill() {
-    change(FIRST);
+  public void passesFullQuietPeriodForWorkSubmittedAfterPause() {
+    changeDispatcher(FIRST);
     now += 3_000;
-    handle(new IntakeEvent.Opened(1, WORK));
-    assertEquals(submits(change(SECOND)).getFirst().quietMillis(), RUNS_ON);
+    handle(new IntakeEvent.RequestReceived(1, WORK));
+    assertEquals(
+        submits(changeDispatcher(SECOND)).getFirst().quietPeriodMillis(), MAX_ORPHANED_RUN_MILLIS);
   }
 
   /** A host that dispatched by itself hears itself until the moment at which it gives way. */
   @Test
-  public void countsTheOwnDispatcherAsHeard() {
-    change(new IntakeEvent.Dispatcher("self", 1));
+  public void countsOwnDispatcherAsContacted() {
+    changeDispatcher(new IntakeEvent.Dispatcher("self", 1));
     now += 5_000;
-    handle(new IntakeEvent.Opened(1, WORK));
+    handle(new IntakeEvent.RequestReceived(1, WORK));
     now += 400;
-    assertEquals(submits(change(SECOND)).getFirst().quietMillis(), RUNS_ON);
+    assertEquals(
+        submits(changeDispatcher(SECOND)).getFirst().quietPeriodMillis(), MAX_ORPHANED_RUN_MILLIS);
   }
 
   /** A successor's refusal says nothing about what the earlier dispatcher has run. */
   @Test
-  public void claimsNoNotRunAfterDispatchersChanged() {
-    change(FIRST);
-    handle(new IntakeEvent.Opened(1, WORK));
-    change(SECOND);
+  public void doesNotReportNotRunAfterDispatchersChanged() {
+    changeDispatcher(FIRST);
+    handle(new IntakeEvent.RequestReceived(1, WORK));
+    changeDispatcher(SECOND);
     List<IntakeEffect> effects =
-        handle(new IntakeEvent.Reported("b", "w", new WorkOutcome.NotRun("no room", 1_000)));
+        handle(new IntakeEvent.OutcomeReported("b", "w", new WorkOutcome.NotRun("no room", 1_000)));
     assertTrue(answers(effects).getFirst().outcome() instanceof WorkOutcome.GivenUp);
   }
 
@@ -118,39 +120,39 @@
    */
   @Test
   public void answersEveryWaitingCallerOnce() {
-    change(FIRST);
-    handle(new IntakeEvent.Opened(1, WORK));
-    handle(new IntakeEvent.Opened(2, WORK));
-    IntakeEvent done = new IntakeEvent.Reported("a", "w", new WorkOutcome.Completed());
+    changeDispatcher(FIRST);
+    handle(new IntakeEvent.RequestReceived(1, WORK));
+    handle(new IntakeEvent.RequestReceived(2, WORK));
+    IntakeEvent done = new IntakeEvent.OutcomeReported("a", "w", new WorkOutcome.Completed());
     assertEquals(answers(handle(done)).size(), 2);
     assertTrue(handle(done).isEmpty());
-    assertEquals(intake.waiting(), 0);
+    assertEquals(intake.waitingCallers(), 0);
   }
 
   /** The dispatcher hears that a caller has left only once nobody waits any more. */
   @Test
   public void cancelsWhenTheLastCallerLeaves() {
-    change(FIRST);
-    handle(new IntakeEvent.Opened(1, WORK));
-    handle(new IntakeEvent.Opened(2, WORK));
-    assertTrue(cancels(handle(new IntakeEvent.Left(1))).isEmpty());
-    assertEquals(cancels(handle(new IntakeEvent.Left(2))).size(), 1);
+    changeDispatcher(FIRST);
+    handle(new IntakeEvent.RequestReceived(1, WORK));
+    handle(new IntakeEvent.RequestReceived(2, WORK));
+    assertTrue(cancels(handle(new IntakeEvent.CallerDisconnected(1))).isEmpty());
+    assertEquals(cancels(handle(new IntakeEvent.CallerDisconnected(2))).size(), 1);
   }
 
   /** A message or its answer was lost: the work is submitted again, under the same ticket. */
   @Test
-  public void submitsAgainWhatGetsNoOutcome() {
-    change(FIRST);
-    handle(new IntakeEvent.Opened(9, WORK));
+  public void resubmitsWorkWithoutOutcome() {
+    changeDispatcher(FIRST);
+    handle(new IntakeEvent.RequestReceived(9, WORK));
     now += 400;
     assertEquals(submits(handle(new IntakeEvent.Tick())).getFirst().ticket(), 9);
   }
 
   /** No outcome comes before the caller leaves: it is told, and the dispatcher too. */
   @Test
-  public void givesUpWhenTheCallersTimeIsOver() {
-    change(FIRST);
-    handle(new IntakeEvent.Opened(1, WORK));
+  public void givesUpWhenCallerBudgetIsExceeded() {
+    changeDispatcher(FIRST);
+    handle(new IntakeEvent.RequestReceived(1, WORK));
     now += 2_500;
     List<IntakeEffect> effects = handle(new IntakeEvent.Tick());
     assertTrue(answers(effects).getFirst().outcome() instanceof WorkOutcome.GivenUp);
@@ -162,101 +164,102 @@
    * caller, back elsewhere, had it run at a second one.
    */
   @Test
-  public void repeatsCancellationsThatConnectionsMayHaveLost() {
-    change(FIRST);
-    handle(new IntakeEvent.Opened(1, WORK));
-    handle(new IntakeEvent.Left(1));
+  public void resendsCancellationsAfterReconnect() {
+    changeDispatcher(FIRST);
+    handle(new IntakeEvent.RequestReceived(1, WORK));
+    handle(new IntakeEvent.CallerDisconnected(1));
     now += 1_400;
-    assertEquals(cancels(handle(new IntakeEvent.PeerReset("a"))).getFirst().to(), FIRST);
+    assertEquals(cancels(handle(new IntakeEvent.PeerReconnected("a"))).getFirst().to(), FIRST);
     now += 200;
     handle(new IntakeEvent.Tick());
-    assertTrue(cancels(handle(new IntakeEvent.PeerReset("a"))).isEmpty());
+    assertTrue(cancels(handle(new IntakeEvent.PeerReconnected("a"))).isEmpty());
   }
 
   /** A caller was back at once, and a cancellation that was repeated dropped its new submission. */
   @Test
-  public void cancelsNothingThatWasSubmittedAgain() {
-    change(FIRST);
-    handle(new IntakeEvent.Opened(1, WORK));
-    handle(new IntakeEvent.Left(1));
-    handle(new IntakeEvent.Opened(2, WORK));
-    assertTrue(cancels(handle(new IntakeEvent.PeerReset("a"))).isEmpty());
+  public void doesNotCancelResubmittedWork() {
+    changeDispatcher(FIRST);
+    handle(new IntakeEvent.RequestReceived(1, WORK));
+    handle(new IntakeEvent.CallerDisconnected(1));
+    handle(new IntakeEvent.RequestReceived(2, WORK));
+    assertTrue(cancels(handle(new IntakeEvent.PeerReconnected("a"))).isEmpty());
   }
 
   /** All entry hosts took the first of the shards, while the others had room. */
   @Test
-  public void choosesTheRoomierOfTwoShards() {
-    divide(Map.of(NORTH, FIRST, SOUTH, SECOND));
-    tellRoom("a", 0);
-    tellRoom("b", 40);
-    assertEquals(submits(handle(new IntakeEvent.Opened(1, WORK))).getFirst().to(), SECOND);
+  public void choosesShardWithMoreFreeCapacity() {
+    changeDispatchers(Map.of(NORTH, FIRST, SOUTH, SECOND));
+    reportLoad("a", 0);
+    reportLoad("b", 40);
+    assertEquals(submits(handle(new IntakeEvent.RequestReceived(1, WORK))).getFirst().to(), SECOND);
   }
 
   /** A job crossed the network between domains, though its own domain had room. */
   @Test
-  public void prefersTheOwnDomainWhileItHasRoom() {
-    divide(Map.of(NORTH, FIRST, SOUTH, SECOND));
-    tellRoom("a", 10);
-    tellRoom("b", 40);
-    assertEquals(submits(handle(new IntakeEvent.Opened(1, WORK))).getFirst().to(), FIRST);
+  public void prefersOwnDomainWhileItHasCapacity() {
+    changeDispatchers(Map.of(NORTH, FIRST, SOUTH, SECOND));
+    reportLoad("a", 10);
+    reportLoad("b", 40);
+    assertEquals(submits(handle(new IntakeEvent.RequestReceived(1, WORK))).getFirst().to(), FIRST);
   }
 
   /** A caller was refused by a full shard, while another one had room. */
   @Test
-  public void offersRefusedWorkToShardsWithRoom() {
-    divide(Map.of(NORTH, FIRST, SOUTH, SECOND));
-    tellRoom("a", 10);
-    handle(new IntakeEvent.Opened(1, WORK));
-    tellRoom("b", 10);
+  public void offersRefusedWorkToShardsWithCapacity() {
+    changeDispatchers(Map.of(NORTH, FIRST, SOUTH, SECOND));
+    reportLoad("a", 10);
+    handle(new IntakeEvent.RequestReceived(1, WORK));
+    reportLoad("b", 10);
     IntakeEffect.Submit spilled = submits(refuse("a")).getFirst();
     assertEquals(spilled.to(), SECOND);
-    assertEquals(spilled.quietMillis(), 0);
-    assertTrue(refuse("a").stream().allMatch(IntakeEffect.Note.class::isInstance), "a late copy");
+    assertEquals(spilled.quietPeriodMillis(), 0);
+    assertTrue(
+        refuse("a").stream().allMatch(IntakeEffect.LogEvent.class::isInstance), "a late copy");
     IntakeEffect.Answer answer = answers(refuse("b")).getFirst();
     assertTrue(answer.outcome() instanceof WorkOutcome.NotRun);
   }
 
   /** A caller heard "not run" of a job that the next shard had just begun. */
   @Test
-  public void takesNoLateRefusalOfAnEarlierShard() {
-    divide(Map.of(NORTH, FIRST, SOUTH, SECOND));
-    tellRoom("a", 10);
-    handle(new IntakeEvent.Opened(1, WORK));
-    divide(Map.of(SOUTH, SECOND));
+  public void ignoresLateRefusalOfEarlierShard() {
+    changeDispatchers(Map.of(NORTH, FIRST, SOUTH, SECOND));
+    reportLoad("a", 10);
+    handle(new IntakeEvent.RequestReceived(1, WORK));
+    changeDispatchers(Map.of(SOUTH, SECOND));
     now += 500;
     IntakeEffect.Submit moved = submits(handle(new IntakeEvent.Tick())).getFirst();
     assertEquals(moved.to(), SECOND);
-    assertTrue(moved.quietMillis() > 0, "the first shard's runs may go on");
+    assertTrue(moved.quietPeriodMillis() > 0, "the first shard's runs may go on");
     assertTrue(answers(refuse("a")).isEmpty());
     assertTrue(answers(refuse("b")).getFirst().outcome() instanceof WorkOutcome.GivenUp);
   }
 
   /** The first shard has done the job after all: the caller hears so, and the second one stops. */
   @Test
-  public void takesCompletionsOfEveryShardThatHadTheWork() {
-    divide(Map.of(NORTH, FIRST, SOUTH, SECOND));
-    tellRoom("a", 10);
-    handle(new IntakeEvent.Opened(1, WORK));
-    divide(Map.of(SOUTH, SECOND));
+  public void acceptsCompletionFromAnyShardThatHadWork() {
+    changeDispatchers(Map.of(NORTH, FIRST, SOUTH, SECOND));
+    reportLoad("a", 10);
+    handle(new IntakeEvent.RequestReceived(1, WORK));
+    changeDispatchers(Map.of(SOUTH, SECOND));
     now += 500;
     handle(new IntakeEvent.Tick());
     List<IntakeEffect> effects =
-        handle(new IntakeEvent.Reported("a", "w", new WorkOutcome.Completed()));
+        handle(new IntakeEvent.OutcomeReported("a", "w", new WorkOutcome.Completed()));
     assertEquals(answers(effects).size(), 1);
     assertEquals(cancels(effects).getFirst().to(), SECOND);
   }
 
   /** A shard lost its dispatcher for a moment, and its jobs went elsewhere and had to wait. */
   @Test
-  public void keepsWorkAtItsShardUntilTheSuccessorComes() {
-    divide(Map.of(NORTH, FIRST, SOUTH, SECOND));
-    tellRoom("a", 10);
-    handle(new IntakeEvent.Opened(1, WORK));
-    divide(Map.of(SOUTH, SECOND));
+  public void keepsWorkAtShardUntilSuccessorAppears() {
+    changeDispatchers(Map.of(NORTH, FIRST, SOUTH, SECOND));
+    reportLoad("a", 10);
+    handle(new IntakeEvent.RequestReceived(1, WORK));
+    changeDispatchers(Map.of(SOUTH, SECOND));
     now += 400;
     assertTrue(submits(handle(new IntakeEvent.Tick())).isEmpty());
     IntakeEvent.Dispatcher successor = new IntakeEvent.Dispatcher("c", 3);
-    List<IntakeEffect> effects = divide(Map.of(NORTH, successor, SOUTH, SECOND));
+    List<IntakeEffect> effects = changeDispatchers(Map.of(NORTH, successor, SOUTH, SECOND));
     assertEquals(submits(effects).getFirst().to(), successor);
   }
 
@@ -264,35 +267,36 @@
     return intake.handle(event, now);
   }
 
-  private List<IntakeEffect> divide(Map<ShardId, IntakeEvent.Dispatcher> dispatchers) {
+  private List<IntakeEffect> changeDispatchers(Map<ShardId, IntakeEvent.Dispatcher> dispatchers) {
     return handle(new IntakeEvent.DispatchersChanged(dispatchers));
   }
 
-  private void tellRoom(String host, int freeCores) {
-    handle(new IntakeEvent.LoadTold(host, new DomainLoad(freeCores, 0)));
+  private void reportLoad(String host, int freeCores) {
+    handle(new IntakeEvent.LoadReported(host, new DomainLoad(freeCores, 0)));
   }
 
   private List<IntakeEffect> refuse(String host) {
-    return handle(new IntakeEvent.Reported(host, "w", new WorkOutcome.NotRun("no room", 1_000)));
+    return handle(
+        new IntakeEvent.OutcomeReported(host, "w", new WorkOutcome.NotRun("no room", 1_000)));
   }
 
-  private List<IntakeEffect> change(IntakeEvent.Dispatcher dispatcher) {
+  private List<IntakeEffect> changeDispatcher(IntakeEvent.Dispatcher dispatcher) {
     return handle(new IntakeEvent.DispatchersChanged(Map.of(ShardId.WHOLE_FLEET, dispatcher)));
   }
 
   private static List<IntakeEffect.Submit> submits(List<IntakeEffect> effects) {
-    return only(effects, IntakeEffect.Submit.class);
+    return effectsOfType(effects, IntakeEffect.Submit.class);
   }
 
   private static List<IntakeEffect.Answer> answers(List<IntakeEffect> effects) {
-    return only(effects, IntakeEffect.Answer.class);
+    return effectsOfType(effects, IntakeEffect.Answer.class);
   }
 
   private static List<IntakeEffect.Cancel> cancels(List<IntakeEffect> effects) {
-    return only(effects, IntakeEffect.Cancel.class);
+    return effectsOfType(effects, IntakeEffect.Cancel.class);
   }
 
-  private static <T> List<T> only(List<IntakeEffect> effects, Class<T> kind) {
+  private static <T> List<T> effectsOfType(List<IntakeEffect> effects, Class<T> kind) {
     return effects.stream().filter(kind::isInstance).map(kind::cast).toList();
   }
 }
--- a/burdockbay-core/src/test/java/org/burdockbay/core/lease/HeavyLoadTest.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/lease/HeavyLoadTest.java
@@ -17,15 +17,15 @@
 public class HeavyLoadTest {
 
   private static final int SEEDS = 3;
-  private static final long PLAY_MILLIS = 30_000;
-  private static final int LARGE_FLEET = 245;
-  private static final long LARGE_PLAY_MILLIS = 6_000;
-  private static final long LONGEST_JOB_MILLIS = 3_000;
+  private static final long SIMULATION_MILLIS = 30_000;
+  private static final int LARGE_FLEET_UPSTREAMS = 245;
+  private static final long LARGE_SIMULATION_MILLIS = 6_000;
+  private static final long MAX_JOB_MILLIS = 3_000;
   private static final double NO_TRAFFIC = 1e-9;
   private static final ShardLayout SHARDS = new ShardLayout(4);
 
   /** By how much less may be served in time than by one pool. */
-  private static final double MOST_LOST = 0.05;
+  private static final double MAX_IN_TIME_LOSS = 0.05;
 
   /** What events cost where the processor takes {@link #PROCESSOR_TRAFFIC}, in microseconds. */
   private static final long EVENT_MICROS = 950;
@@ -38,7 +38,7 @@
   /** Usual traffic takes 0.72 of the room: nearly everybody is served in time. */
   @Test
   public void servesUsualTrafficInTime() {
-    Outcome outcome = play(1);
+    Outcome outcome = simulate(1);
     assertTrue(outcome.inTime > 0.97, outcome.toString());
   }
 
@@ -47,15 +47,15 @@
    * could, so that more and more is late. Before: 0.826 in time; with refusals 0.90.
    */
   @Test
-  public void servesMostInTimeWhenAllRoomIsTaken() {
-    Outcome outcome = play(1.45);
+  public void servesMostInTimeAtFullCapacity() {
+    Outcome outcome = simulate(1.45);
     assertTrue(outcome.inTime > 0.88, outcome.toString());
   }
 
   /** Callers bring 1.3 times what fits. Before: 0.490 in time; with refusals and order 0.772. */
   @Test
   public void servesWhatFitsInTimeUnderOverload() {
-    Outcome outcome = play(1.8);
+    Outcome outcome = simulate(1.8);
     assertTrue(outcome.inTime > 0.75, outcome.toString());
   }
 
@@ -64,8 +64,8 @@
    * 2,499 ms, when it was about to leave; with refusals after less than 120 ms.
    */
   @Test
-  public void refusesSoonWhatCannotStartInTime() {
-    Outcome outcome = play(1.8);
+  public void refusesEarlyWhatCannotStartInTime() {
+    Outcome outcome = simulate(1.8);
     assertTrue(outcome.longestRefusalOfChecks < 150, outcome.toString());
   }
 
@@ -76,7 +76,7 @@
    */
   @Test
   public void refusesFewAfterLongWaits() {
-    Outcome outcome = play(1.8);
+    Outcome outcome = simulate(1.8);
     assertTrue(outcome.lateRefusals < 0.03, outcome.toString());
   }
 
@@ -89,10 +89,10 @@
   public void servesAroundSlowUpstreams() {
     double inTime = 0;
     for (long seed = 1; seed <= SEEDS; seed++) {
-      LoadPlay play = new LoadPlay(seed);
-      play.slowDown(6, 6.5);
-      play.play(1, PLAY_MILLIS);
-      inTime += play.inTime() / SEEDS;
+      LoadSimulation play = new LoadSimulation(seed);
+      play.slowDownUpstreams(6, 6.5);
+      play.run(1, SIMULATION_MILLIS);
+      inTime += play.inTimeShare() / SEEDS;
       System.out.println("slow-upstreams seed=" + seed + '\n' + play.report());
     }
     assertTrue(inTime > 0.85, "in time " + inTime);
@@ -105,17 +105,17 @@
    */
   @Test
   public void servesUsualTrafficOfDividedFleetInTime() {
-    double divided = playLarge(1, SHARDS);
-    double pool = playLarge(1, ShardLayout.UNDIVIDED);
-    assertTrue(divided >= pool - MOST_LOST, "in time " + divided + ", as one pool " + pool);
+    double divided = simulateLargeFleet(1, SHARDS);
+    double pool = simulateLargeFleet(1, ShardLayout.UNDIVIDED);
+    assertTrue(divided >= pool - MAX_IN_TIME_LOSS, "in time " + divided + ", as one pool " + pool);
   }
 
-  private static double playLarge(double traffic, ShardLayout layout) {
-    LoadPlay play = new LoadPlay(1, LARGE_FLEET, layout);
-    play.play(traffic, LARGE_PLAY_MILLIS);
-    play.play(NO_TRAFFIC, LONGEST_JOB_MILLIS);
+  private static double simulateLargeFleet(double traffic, ShardLayout layout) {
+    LoadSimulation play = new LoadSimulation(1, LARGE_FLEET_UPSTREAMS, layout);
+    play.run(traffic, LARGE_SIMULATION_MILLIS);
+    play.run(NO_TRAFFIC, MAX_JOB_MILLIS);
     System.out.println("traffic=" + traffic + " shards=" + layout + '\n' + play.report());
-    return play.inTime();
+    return play.inTimeShare();
   }
 
   /**
@@ -123,40 +123,40 @@
    * and next to nobody was served in time.
    */
   @Test
-  public void servesWhatItsProcessorTakesWhenItGetsThreeTimesAsMuch() {
+  public void sustainsThroughputAtThreeTimesProcessorCapacity() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      LoadPlay carried = playOnSlowProcessor(seed, PROCESSOR_TRAFFIC);
-      LoadPlay overloaded = playOnSlowProcessor(seed, 3 * PROCESSOR_TRAFFIC);
+      LoadSimulation carried = simulateSlowProcessor(seed, PROCESSOR_TRAFFIC);
+      LoadSimulation overloaded = simulateSlowProcessor(seed, 3 * PROCESSOR_TRAFFIC);
       assertTrue(
           overloaded.jobsInTime() >= 0.8 * carried.jobsInTime(),
           overloaded.jobsInTime() + " in time of " + carried.jobsInTime());
-      assertEquals(overloaded.changesOfRole(), 0);
+      assertEquals(overloaded.roleChanges(), 0);
     }
   }
 
-  private static LoadPlay playOnSlowProcessor(long seed, double traffic) {
-    LoadPlay play = new LoadPlay(seed);
-    play.slowProcessor(EVENT_MICROS);
-    play.play(traffic, PLAY_MILLIS);
+  private static LoadSimulation simulateSlowProcessor(long seed, double traffic) {
+    LoadSimulation play = new LoadSimulation(seed);
+    play.limitProcessor(EVENT_MICROS);
+    play.run(traffic, SIMULATION_MILLIS);
     System.out.println("processor traffic=" + traffic + " seed=" + seed + '\n' + play.report());
     return play;
   }
 
   /** Plays one multiple of the usual traffic once, however many tests look at it. */
-  private static Outcome play(double traffic) {
-    return OUTCOMES.computeIfAbsent(traffic, HeavyLoadTest::playSeeds);
+  private static Outcome simulate(double traffic) {
+    return OUTCOMES.computeIfAbsent(traffic, HeavyLoadTest::simulateSeeds);
   }
 
-  private static Outcome playSeeds(double traffic) {
+  private static Outcome simulateSeeds(double traffic) {
     double inTime = 0;
     double lateRefusals = 0;
     long longest = 0;
     for (long seed = 1; seed <= SEEDS; seed++) {
-      LoadPlay play = new LoadPlay(seed);
-      play.play(traffic, PLAY_MILLIS);
-      inTime += play.inTime() / SEEDS;
-      lateRefusals += play.lateRefusals() / SEEDS;
-      longest = Math.max(longest, play.figures(LoadPlay.Kind.CHECK).longestRefusal);
+      LoadSimulation play = new LoadSimulation(seed);
+      play.run(traffic, SIMULATION_MILLIS);
+      inTime += play.inTimeShare() / SEEDS;
+      lateRefusals += play.lateRefusalShare() / SEEDS;
+      longest = Math.max(longest, play.statistics(LoadSimulation.Kind.CHECK).longestRefusalMillis);
       System.out.println("traffic=" + traffic + " seed=" + seed + '\n' + play.report());
     }
     return new Outcome(inTime, lateRefusals, longest);
--- a/burdockbay-core/src/test/java/org/burdockbay/core/lease/LeaseDispatcherTest.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/lease/LeaseDispatcherTest.java
@@ -11,7 +11,7 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 import java.util.Set;
-import org.burdockbay.core.fleet.UpstreamNotice;
+import org.burdockbay.core.fleet.UpstreamAnnouncement;
 import org.burdockbay.core.shard.ShardId;
 import org.burdockbay.core.work.RunId;
 import org.burdockbay.core.work.TaskId;
@@ -25,36 +25,36 @@
 /** Plays single stories against a {@link LeaseDispatcher}. */
 public class LeaseDispatcherTest {
 
-  private static final TaskSize HALF = new TaskSize(16_000, 64, 0);
+  private static final TaskSize HALF_CAPACITY = new TaskSize(16_000, 64, 0);
   private static final long TOKEN = 1_000;
-  private static final long CLOCK = 500_000;
+  private static final long UPSTREAM_CLOCK_OFFSET = 500_000;
   private static final ShardId OWN_SHARD = new ShardId("north", 0);
   private static final ShardId OTHER_SHARD = new ShardId("south", 0);
 
   private final Map<String, LeaseEffect.Renew> openRenewals = new HashMap<>();
   private LeaseDispatcher dispatcher;
   private long now;
-  private long clockAhead;
+  private long clockAheadMillis;
 
   /** Creates a dispatcher with the role and no upstream. */
   @BeforeMethod
   public void setUp() {
-    dispatcher = new LeaseDispatcher("self", LeaseTerms.DEFAULT);
+    dispatcher = new LeaseDispatcher("self", LeaseTiming.DEFAULT);
     openRenewals.clear();
     now = 10_000;
-    clockAhead = 0;
+    clockAheadMillis = 0;
     handle(new LeaseEvent.RoleGained(TOKEN));
   }
 
   /** A caller's two tasks run on the one upstream with room, and the caller hears it once. */
   @Test
   public void answersOnceEveryTaskIsDone() {
-    UpstreamNotice upstream = join("u1");
-    List<LeaseEffect.Start> starts = starts(submit("w", 2, HALF));
+    UpstreamAnnouncement upstream = addUpstream("u1");
+    List<LeaseEffect.Start> starts = starts(submit("w", 2, HALF_CAPACITY));
     assertEquals(starts.size(), 2);
-    assertTrue(reports(end(upstream, starts.get(0).run(), 1, RunEnd.Cause.DONE)).isEmpty());
+    assertTrue(reports(endRun(upstream, starts.get(0).run(), 1, RunEnd.Cause.DONE)).isEmpty());
     List<LeaseEffect.Report> reports =
-        reports(end(upstream, starts.get(1).run(), 2, RunEnd.Cause.DONE));
+        reports(endRun(upstream, starts.get(1).run(), 2, RunEnd.Cause.DONE));
     assertEquals(reports.size(), 1);
     assertEquals(reports.getFirst().outcome(), new WorkOutcome.Completed());
   }
@@ -62,10 +62,10 @@
   /** Three halves don't fit into one upstream: the third waits for the first to end. */
   @Test
   public void startsNoMoreThanFits() {
-    UpstreamNotice upstream = join("u1");
-    List<LeaseEffect.Start> starts = starts(submit("w", 3, HALF));
+    UpstreamAnnouncement upstream = addUpstream("u1");
+    List<LeaseEffect.Start> starts = starts(submit("w", 3, HALF_CAPACITY));
     assertEquals(starts.size(), 2);
-    assertEquals(starts(end(upstream, starts.get(0).run(), 1, RunEnd.Cause.DONE)).size(), 1);
+    assertEquals(starts(endRun(upstream, starts.get(0).run(), 1, RunEnd.Cause.DONE)).size(), 1);
   }
 
   /**
@@ -73,15 +73,15 @@
    * started a second time and its end counts.
    */
   @Test
-  public void learnsFromTheListThatAnUnansweredStartWasCarriedOut() {
-    UpstreamNotice upstream = join("u1");
-    RunId run = starts(submit("w", 1, HALF)).getFirst().run();
+  public void discoversUnansweredStartInRunList() {
+    UpstreamAnnouncement upstream = addUpstream("u1");
+    RunId run = starts(submit("w", 1, HALF_CAPACITY)).getFirst().run();
     handle(
         new LeaseEvent.StartAnswered(upstream, run, OrderResult.NO_ANSWER, OptionalLong.empty()));
-    List<LeaseEffect> effects = list(upstream, List.of(run), List.of());
+    List<LeaseEffect> effects = answerOpenRenewal(upstream, List.of(run), List.of());
     assertTrue(stops(effects).isEmpty());
     assertTrue(starts(effects).isEmpty());
-    assertEquals(reports(end(upstream, run, 1, RunEnd.Cause.DONE)).size(), 1);
+    assertEquals(reports(endRun(upstream, run, 1, RunEnd.Cause.DONE)).size(), 1);
   }
 
   /**
@@ -90,21 +90,26 @@
    */
   @Test
   public void stopsAnUnansweredStartBeforeItStartsElsewhere() {
-    UpstreamNotice first = join("u1");
-    RunId run = starts(submit("w", 1, HALF)).getFirst().run();
+    UpstreamAnnouncement first = addUpstream("u1");
+    RunId run = starts(submit("w", 1, HALF_CAPACITY)).getFirst().run();
     handle(new LeaseEvent.StartAnswered(first, run, OrderResult.NO_ANSWER, OptionalLong.empty()));
-    final UpstreamNotice second = join("u2");
-    List<LeaseEffect> effects = list(first, List.of(), List.of());
+    final UpstreamAnnouncement second = addUpstream("u2");
+    List<LeaseEffect> effects = answerOpenRenewal(first, List.of(), List.of());
     assertEquals(stops(effects).getFirst().run(), run);
     assertTrue(starts(effects).isEmpty());
-    assertTrue(starts(list(first, List.of(), List.of())).isEmpty(), "the stop isn't confirmed");
-    handle(new LeaseEvent.StopAnswered(first, run, OrderResult.DONE, OptionalLong.of(clock())));
     assertTrue(
-        starts(list(first, List.of(), List.of())).isEmpty(), "asked for before the confirmation");
+        starts(answerOpenRenewal(first, List.of(), List.of())).isEmpty(),
+        "the stop isn't confirmed");
+    handle(
+        new LeaseEvent.StopAnswered(
+            first, run, OrderResult.DONE, OptionalLong.of(upstreamClock())));
+    assertTrue(
+        starts(answerOpenRenewal(first, List.of(), List.of())).isEmpty(),
+        "asked for before the confirmation");
     now += 5;
-    List<LeaseEffect.Start> again = starts(list(first, List.of(), List.of()));
+    List<LeaseEffect.Start> again = starts(answerOpenRenewal(first, List.of(), List.of()));
     assertEquals(again.size(), 1);
-    assertTrue(again.getFirst().run().run() > run.run());
+    assertTrue(again.getFirst().run().number() > run.number());
     assertFalse(second.id().isEmpty());
   }
 
@@ -115,15 +120,17 @@
    * and the confirmation are simultaneous, and the run would count as over.
    */
   @Test
-  public void takesNoRunForOverByListThatWasAskedForInTheMillisecondOfItsConfirmation() {
-    UpstreamNotice upstream = join("u1");
-    RunId earlier = starts(submit("v", 1, HALF)).getFirst().run();
-    RunId run = starts(submit("w", 1, HALF)).getFirst().run();
-    end(upstream, earlier, 1, RunEnd.Cause.DONE);
-    handle(new LeaseEvent.StartAnswered(upstream, run, OrderResult.DONE, OptionalLong.of(clock())));
-    List<LeaseEffect> effects = list(upstream, List.of(), List.of());
+  public void keepsRunMissingFromListRequestedInMillisecondOfItsConfirmation() {
+    UpstreamAnnouncement upstream = addUpstream("u1");
+    RunId earlier = starts(submit("v", 1, HALF_CAPACITY)).getFirst().run();
+    RunId run = starts(submit("w", 1, HALF_CAPACITY)).getFirst().run();
+    endRun(upstream, earlier, 1, RunEnd.Cause.DONE);
+    handle(
+        new LeaseEvent.StartAnswered(
+            upstream, run, OrderResult.DONE, OptionalLong.of(upstreamClock())));
+    List<LeaseEffect> effects = answerOpenRenewal(upstream, List.of(), List.of());
     assertTrue(starts(effects).isEmpty(), "the run goes on");
-    assertEquals(reports(end(upstream, run, 2, RunEnd.Cause.DONE)).size(), 1);
+    assertEquals(reports(endRun(upstream, run, 2, RunEnd.Cause.DONE)).size(), 1);
   }
 
   /**
@@ -131,14 +138,16 @@
    * doesn't have it, so the task starts again, and the log says why.
    */
   @Test
-  public void startsAgainWhatListsAskedForLaterDoNotHave() {
-    UpstreamNotice upstream = join("u1");
-    RunId run = starts(submit("w", 1, HALF)).getFirst().run();
-    handle(new LeaseEvent.StartAnswered(upstream, run, OrderResult.DONE, OptionalLong.of(clock())));
-    list(upstream, List.of(run), List.of());
-    List<LeaseEffect> effects = list(upstream, List.of(), List.of());
+  public void restartsRunMissingFromListRequestedAfterConfirmation() {
+    UpstreamAnnouncement upstream = addUpstream("u1");
+    RunId run = starts(submit("w", 1, HALF_CAPACITY)).getFirst().run();
+    handle(
+        new LeaseEvent.StartAnswered(
+            upstream, run, OrderResult.DONE, OptionalLong.of(upstreamClock())));
+    answerOpenRenewal(upstream, List.of(run), List.of());
+    List<LeaseEffect> effects = answerOpenRenewal(upstream, List.of(), List.of());
     assertEquals(starts(effects).size(), 1);
-    assertEquals(notes(effects, "run-missing").size(), 1);
+    assertEquals(logEvents(effects, "run-missing").size(), 1);
   }
 
   /**
@@ -147,14 +156,16 @@
    * time.
    */
   @Test
-  public void sendsUnansweredStartsAgainUnderTheSameNumber() {
-    UpstreamNotice upstream = join("u1");
-    RunId run = starts(submit("w", 1, HALF)).getFirst().run();
-    overtake(upstream);
+  public void resendsUnansweredStartsUnderSameRunNumber() {
+    UpstreamAnnouncement upstream = addUpstream("u1");
+    RunId run = starts(submit("w", 1, HALF_CAPACITY)).getFirst().run();
+    answerLaterCallsFirst(upstream);
     LeaseEffect.Start again = starts(handle(new LeaseEvent.Tick())).getFirst();
     assertEquals(again.run(), run);
-    handle(new LeaseEvent.StartAnswered(upstream, run, OrderResult.DONE, OptionalLong.of(clock())));
-    assertEquals(reports(end(upstream, run, 1, RunEnd.Cause.DONE)).size(), 1);
+    handle(
+        new LeaseEvent.StartAnswered(
+            upstream, run, OrderResult.DONE, OptionalLong.of(upstreamClock())));
+    assertEquals(reports(endRun(upstream, run, 1, RunEnd.Cause.DONE)).size(), 1);
   }
 
   /**
@@ -162,10 +173,10 @@
    * would keep alive what has to end before its caller comes again elsewhere.
    */
   @Test
-  public void copiesOfStartsMakeNoLeaseLonger() {
-    UpstreamNotice upstream = join("u1");
-    LeaseEffect.Start first = starts(submit("w", 1, HALF)).getFirst();
-    overtake(upstream);
+  public void resentStartsDoNotExtendLease() {
+    UpstreamAnnouncement upstream = addUpstream("u1");
+    LeaseEffect.Start first = starts(submit("w", 1, HALF_CAPACITY)).getFirst();
+    answerLaterCallsFirst(upstream);
     LeaseEffect.Start again = starts(handle(new LeaseEvent.Tick())).getFirst();
     assertEquals(again, first);
   }
@@ -176,10 +187,10 @@
    * later still.
    */
   @Test
-  public void sendsNothingAgainWhileAllAnswersAreLate() {
-    join("u1");
-    submit("w", 1, HALF);
-    now += 2 * LeaseTerms.DEFAULT.resendMillis();
+  public void doesNotResendWhileAllAnswersAreDelayed() {
+    addUpstream("u1");
+    submit("w", 1, HALF_CAPACITY);
+    now += 2 * LeaseTiming.DEFAULT.resendIntervalMillis();
     assertTrue(starts(handle(new LeaseEvent.Tick())).isEmpty());
   }
 
@@ -189,16 +200,17 @@
    * nothing starts meanwhile.
    */
   @Test
-  public void takesRefusalsOfSecondCopiesForNoProofThatNothingRan() {
-    UpstreamNotice upstream = join("u1");
-    RunId run = starts(submit("w", 1, HALF)).getFirst().run();
-    overtake(upstream);
+  public void doesNotTreatRefusedResendAsNotRun() {
+    UpstreamAnnouncement upstream = addUpstream("u1");
+    RunId run = starts(submit("w", 1, HALF_CAPACITY)).getFirst().run();
+    answerLaterCallsFirst(upstream);
     handle(new LeaseEvent.Tick());
     List<LeaseEffect> effects =
         handle(
-            new LeaseEvent.StartAnswered(upstream, run, OrderResult.OLD, OptionalLong.of(clock())));
+            new LeaseEvent.StartAnswered(
+                upstream, run, OrderResult.OLD, OptionalLong.of(upstreamClock())));
     assertTrue(starts(effects).isEmpty());
-    effects = end(upstream, run, 1, RunEnd.Cause.DONE);
+    effects = endRun(upstream, run, 1, RunEnd.Cause.DONE);
     assertTrue(starts(effects).isEmpty());
     assertEquals(reports(effects).size(), 1);
   }
@@ -208,21 +220,23 @@
    * out seconds later, so the task starts elsewhere only once a stop was confirmed.
    */
   @Test
-  public void stopsCopiesOnTheirWayBeforeTheTaskStartsElsewhere() {
-    final UpstreamNotice first = join("u1");
-    final RunId run = starts(submit("w", 1, HALF)).getFirst().run();
-    join("u2");
-    overtake(first);
+  public void stopsDelayedStartBeforeTaskStartsElsewhere() {
+    final UpstreamAnnouncement first = addUpstream("u1");
+    final RunId run = starts(submit("w", 1, HALF_CAPACITY)).getFirst().run();
+    addUpstream("u2");
+    answerLaterCallsFirst(first);
     handle(new LeaseEvent.Tick());
     List<LeaseEffect> effects =
         handle(
             new LeaseEvent.StartAnswered(
-                first, run, OrderResult.NO_ROOM, OptionalLong.of(clock())));
+                first, run, OrderResult.NO_ROOM, OptionalLong.of(upstreamClock())));
     assertTrue(starts(effects).isEmpty());
     assertEquals(stops(effects).getFirst().run(), run);
-    handle(new LeaseEvent.StopAnswered(first, run, OrderResult.DONE, OptionalLong.of(clock())));
-    list(first, List.of(), List.of());
-    assertEquals(starts(list(first, List.of(), List.of())).size(), 1);
+    handle(
+        new LeaseEvent.StopAnswered(
+            first, run, OrderResult.DONE, OptionalLong.of(upstreamClock())));
+    answerOpenRenewal(first, List.of(), List.of());
+    assertEquals(starts(answerOpenRenewal(first, List.of(), List.of())).size(), 1);
   }
 
   /**
@@ -230,21 +244,24 @@
    * over on the slowest clock that an upstream may have.
    */
   @Test
-  public void waitsForTheLeaseOfSilentUpstreams() {
-    final UpstreamNotice first = join("u1");
-    RunId run = starts(submit("w", 1, HALF)).getFirst().run();
+  public void waitsForLeaseExpiryOfSilentUpstream() {
+    final UpstreamAnnouncement first = addUpstream("u1");
+    RunId run = starts(submit("w", 1, HALF_CAPACITY)).getFirst().run();
     final long startedAt = now;
-    handle(new LeaseEvent.StartAnswered(first, run, OrderResult.DONE, OptionalLong.of(clock())));
-    join("u2");
-    silence(first);
+    handle(
+        new LeaseEvent.StartAnswered(
+            first, run, OrderResult.DONE, OptionalLong.of(upstreamClock())));
+    addUpstream("u2");
+    loseRenewalAnswers(first);
     List<LeaseEffect> effects = new ArrayList<>();
     while (starts(effects).isEmpty()) {
       now += 10;
       effects.addAll(handle(new LeaseEvent.Tick()));
-      effects.addAll(handle(new LeaseEvent.EntryHeard("entry")));
+      effects.addAll(handle(new LeaseEvent.EntryHostMessageReceived("entry")));
       assertTrue(now < startedAt + 3_000, "never starts again");
     }
-    assertTrue(now - startedAt > LeaseTerms.DEFAULT.longestMillis(), "after " + (now - startedAt));
+    assertTrue(
+        now - startedAt > LeaseTiming.DEFAULT.maxLeaseMillis(), "after " + (now - startedAt));
   }
 
   /**
@@ -253,63 +270,67 @@
    * upstream has shown that it is gone.
    */
   @Test
-  public void movesTasksThatHangWhileTheirSiblingsAreDone() {
-    final List<UpstreamNotice> upstreams = List.of(join("u1"), join("u2"), join("u3"));
-    List<LeaseEffect.Start> starts = starts(submit("w", 6, HALF));
+  public void movesHangingTaskOnceSiblingTasksAreDone() {
+    final List<UpstreamAnnouncement> upstreams =
+        List.of(addUpstream("u1"), addUpstream("u2"), addUpstream("u3"));
+    List<LeaseEffect.Start> starts = starts(submit("w", 6, HALF_CAPACITY));
     starts.forEach(
         start ->
             handle(
                 new LeaseEvent.StartAnswered(
-                    start.upstream(), start.run(), OrderResult.DONE, OptionalLong.of(clock()))));
+                    start.upstream(),
+                    start.run(),
+                    OrderResult.DONE,
+                    OptionalLong.of(upstreamClock()))));
     now += 100;
     Map<String, List<LeaseEffect.Start>> byUpstream = new HashMap<>();
     starts.forEach(
         start ->
             byUpstream.computeIfAbsent(start.upstream().id(), id -> new ArrayList<>()).add(start));
     RunId hanging = byUpstream.get("u1").getFirst().run();
-    for (UpstreamNotice upstream : upstreams) {
+    for (UpstreamAnnouncement upstream : upstreams) {
       long number = 0;
       for (LeaseEffect.Start start : byUpstream.get(upstream.id())) {
         if (!start.run().equals(hanging)) {
           number++;
-          end(upstream, start.run(), number, RunEnd.Cause.DONE);
+          endRun(upstream, start.run(), number, RunEnd.Cause.DONE);
         }
       }
     }
     List<LeaseEffect> effects = new ArrayList<>();
     for (int i = 0; i < 3; i++) {
       now += 100;
-      effects.addAll(handle(new LeaseEvent.EntryHeard("entry")));
+      effects.addAll(handle(new LeaseEvent.EntryHostMessageReceived("entry")));
       effects.addAll(handle(new LeaseEvent.Tick()));
     }
     assertEquals(stops(effects).getFirst().run(), hanging);
     assertTrue(starts(effects).isEmpty(), "it may still run");
-    effects = end(upstreams.getFirst(), hanging, 2, RunEnd.Cause.CUT_SHORT);
+    effects = endRun(upstreams.getFirst(), hanging, 2, RunEnd.Cause.CUT_SHORT);
     assertFalse(starts(effects).getFirst().upstream().id().equals("u1"));
   }
 
   /** A task that fails starts on another upstream, and the job fails after its last attempt. */
   @Test
   public void failsWorkAfterItsLastAttempt() {
-    join("u1");
-    join("u2");
-    LeaseEffect.Start first = starts(submit("w", 1, HALF)).getFirst();
+    addUpstream("u1");
+    addUpstream("u2");
+    LeaseEffect.Start first = starts(submit("w", 1, HALF_CAPACITY)).getFirst();
     LeaseEffect.Start second =
-        starts(end(first.upstream(), first.run(), 1, RunEnd.Cause.FAILED)).getFirst();
+        starts(endRun(first.upstream(), first.run(), 1, RunEnd.Cause.FAILED)).getFirst();
     assertFalse(second.upstream().id().equals(first.upstream().id()));
     List<LeaseEffect.Report> reports =
-        reports(end(second.upstream(), second.run(), 1, RunEnd.Cause.FAILED));
+        reports(endRun(second.upstream(), second.run(), 1, RunEnd.Cause.FAILED));
     assertTrue(reports.getFirst().outcome() instanceof WorkOutcome.Failed);
   }
 
   /** A leaving upstream gets nothing new, and what it runs is finished. */
   @Test
   public void startsNothingOnLeavingUpstreams() {
-    UpstreamNotice upstream = join("u1");
-    RunId run = starts(submit("w", 1, HALF)).getFirst().run();
-    handle(new LeaseEvent.Announced(notice("u1", 2, true)));
-    assertTrue(starts(submit("x", 1, HALF)).isEmpty());
-    assertEquals(reports(end(upstream, run, 1, RunEnd.Cause.DONE)).size(), 1);
+    UpstreamAnnouncement upstream = addUpstream("u1");
+    RunId run = starts(submit("w", 1, HALF_CAPACITY)).getFirst().run();
+    handle(new LeaseEvent.Announced(announcement("u1", 2, true)));
+    assertTrue(starts(submit("x", 1, HALF_CAPACITY)).isEmpty());
+    assertEquals(reports(endRun(upstream, run, 1, RunEnd.Cause.DONE)).size(), 1);
   }
 
   /**
@@ -318,13 +339,13 @@
    */
   @Test
   public void adoptsRunsThatAnEarlierDispatcherStarted() {
-    UpstreamNotice notice = notice("u1", 1, false);
+    UpstreamAnnouncement notice = announcement("u1", 1, false);
     handle(new LeaseEvent.Announced(notice));
-    WorkRequest request = request("w", 1, HALF);
+    WorkRequest request = request("w", 1, HALF_CAPACITY);
     handle(new LeaseEvent.Submitted("entry", TOKEN, 1, request, 300, 1_000));
     RunId run = new RunId(new TaskId("w", 0, 0), 3);
-    assertTrue(starts(list(notice, List.of(run), List.of())).isEmpty());
-    assertEquals(reports(end(notice, run, 1, RunEnd.Cause.DONE)).size(), 1);
+    assertTrue(starts(answerOpenRenewal(notice, List.of(run), List.of())).isEmpty());
+    assertEquals(reports(endRun(notice, run, 1, RunEnd.Cause.DONE)).size(), 1);
   }
 
   /**
@@ -334,16 +355,16 @@
    * submission doesn't touch the new one.
    */
   @Test
-  public void takesNothingThatWasMeantForItsEarlierRole() {
-    join("u1");
+  public void ignoresMessagesForEarlierRole() {
+    addUpstream("u1");
     handle(new LeaseEvent.RoleLost());
     handle(new LeaseEvent.RoleGained(TOKEN + 1));
-    list(notice("u1", 1, false), List.of(), List.of());
-    WorkRequest request = request("w", 1, HALF);
+    answerOpenRenewal(announcement("u1", 1, false), List.of(), List.of());
+    WorkRequest request = request("w", 1, HALF_CAPACITY);
     assertTrue(starts(handle(submitted(1, request, 400))).isEmpty());
     handle(new LeaseEvent.Submitted("entry", TOKEN + 1, 1, request, 400, 1_000));
     handle(new LeaseEvent.Cancelled("entry", TOKEN, "w"));
-    assertEquals(dispatcher.unanswered(), 1);
+    assertEquals(dispatcher.unansweredCount(), 1);
   }
 
   /**
@@ -351,27 +372,29 @@
    * an answer to its earlier role comes, late, that a copy of the start was refused.
    */
   @Test
-  public void keepsRunsThatAnswersToItsEarlierRoleRefuse() {
-    UpstreamNotice first = join("u1");
-    WorkRequest request = request("w", 1, HALF);
+  public void keepsRunsRefusedInAnswersToEarlierRole() {
+    UpstreamAnnouncement first = addUpstream("u1");
+    WorkRequest request = request("w", 1, HALF_CAPACITY);
     RunId run = starts(handle(submitted(1, request, 0))).getFirst().run();
-    final UpstreamNotice second = join("u2");
+    final UpstreamAnnouncement second = addUpstream("u2");
     handle(new LeaseEvent.RoleLost());
     List<LeaseEffect> claimed = handle(new LeaseEvent.RoleGained(TOKEN + 1));
     renewals(claimed).forEach(renew -> openRenewals.put(renew.upstream().id(), renew));
-    list(first, List.of(run), List.of());
-    list(second, List.of(), List.of());
+    answerOpenRenewal(first, List.of(run), List.of());
+    answerOpenRenewal(second, List.of(), List.of());
     handle(new LeaseEvent.Submitted("entry", TOKEN + 1, 1, request, 0, 50));
     now += 100;
-    list(first, List.of(run), List.of());
+    answerOpenRenewal(first, List.of(run), List.of());
     List<LeaseEffect> effects =
         handle(
-            new LeaseEvent.StartAnswered(first, run, OrderResult.FENCED, OptionalLong.of(clock())));
+            new LeaseEvent.StartAnswered(
+                first, run, OrderResult.FENCED, OptionalLong.of(upstreamClock())));
     effects.addAll(
         handle(
-            new LeaseEvent.StopAnswered(first, run, OrderResult.FENCED, OptionalLong.of(clock()))));
+            new LeaseEvent.StopAnswered(
+                first, run, OrderResult.FENCED, OptionalLong.of(upstreamClock()))));
     assertTrue(starts(effects).isEmpty(), "the run goes on at " + first.id());
-    assertTrue(notes(effects, "outranked").isEmpty(), first.id() + " obeys the new token");
+    assertTrue(logEvents(effects, "outranked").isEmpty(), first.id() + " obeys the new token");
   }
 
   /**
@@ -379,19 +402,19 @@
    * nothing tells when a run on a forgotten upstream is over.
    */
   @Test
-  public void startsElsewhereWhatRanOnAnUpstreamThatLeftUnclaimed() {
-    UpstreamNotice notice = notice("u1", 1, false);
+  public void restartsUnclaimedRunOfDepartedUpstream() {
+    UpstreamAnnouncement notice = announcement("u1", 1, false);
     handle(new LeaseEvent.Announced(notice));
     RunId run = new RunId(new TaskId("w", 0, 0), 3);
-    list(notice, List.of(run), List.of());
-    final long leaseEnd = now + LeaseTerms.DEFAULT.longestMillis();
+    answerOpenRenewal(notice, List.of(run), List.of());
+    final long leaseEnd = now + LeaseTiming.DEFAULT.maxLeaseMillis();
     handle(new LeaseEvent.Departed(notice));
-    final List<LeaseEffect> effects = new ArrayList<>(submit("w", 1, HALF));
-    join("u2");
+    final List<LeaseEffect> effects = new ArrayList<>(submit("w", 1, HALF_CAPACITY));
+    addUpstream("u2");
     while (now <= leaseEnd) {
       assertTrue(starts(effects).isEmpty(), "the lease of u1 may last");
       now += 100;
-      effects.addAll(handle(new LeaseEvent.EntryHeard("entry")));
+      effects.addAll(handle(new LeaseEvent.EntryHostMessageReceived("entry")));
       effects.addAll(handle(new LeaseEvent.Tick()));
     }
     assertEquals(starts(effects).size(), 1);
@@ -402,26 +425,26 @@
    * dispatcher may go on with it for a while.
    */
   @Test
-  public void waitsForTheLongestQuietTimeOfAllThatSubmitTheWork() {
-    UpstreamNotice upstream = notice("u1", 1, false);
+  public void waitsForLongestQuietPeriodOfAllSubmitters() {
+    UpstreamAnnouncement upstream = announcement("u1", 1, false);
     handle(new LeaseEvent.Announced(upstream));
-    WorkRequest request = request("w", 1, HALF);
+    WorkRequest request = request("w", 1, HALF_CAPACITY);
     handle(submitted(1, request, 0));
     handle(new LeaseEvent.Submitted("other", TOKEN, 1, request, 0, 200));
-    assertTrue(starts(list(upstream, List.of(), List.of())).isEmpty());
+    assertTrue(starts(answerOpenRenewal(upstream, List.of(), List.of())).isEmpty());
     now += 200;
     assertEquals(starts(handle(new LeaseEvent.Tick())).size(), 1);
   }
 
   /** A run that no entry host claims is stopped, and the lease isn't renewed until it is. */
   @Test
-  public void stopsRunsThatNobodyClaims() {
-    UpstreamNotice notice = notice("u1", 1, false);
+  public void stopsUnclaimedRuns() {
+    UpstreamAnnouncement notice = announcement("u1", 1, false);
     handle(new LeaseEvent.Announced(notice));
     RunId run = new RunId(new TaskId("gone", 0, 0), 1);
-    List<LeaseEffect> effects = list(notice, List.of(run), List.of());
+    List<LeaseEffect> effects = answerOpenRenewal(notice, List.of(run), List.of());
     assertEquals(renewals(effects).getFirst().deadlineMillis(), 0);
-    now += TakenOverRuns.CLAIM_MILLIS + 1;
+    now += TakenOverRuns.CLAIM_TIMEOUT_MILLIS + 1;
     assertEquals(stops(handle(new LeaseEvent.Tick())).getFirst().run(), run);
   }
 
@@ -430,19 +453,20 @@
    * would make the refusal, which promised that nothing runs, untrue.
    */
   @Test
-  public void startsNothingForRepetitionsOfRefusedWork() {
-    WorkRequest request = request("w", 1, HALF);
+  public void doesNotStartResubmittedRefusedWork() {
+    WorkRequest request = request("w", 1, HALF_CAPACITY);
     handle(submitted(7, request, 0));
     List<LeaseEffect.Report> reports = List.of();
     while (reports.isEmpty()) {
       now += 100;
       assertTrue(now < 20_000, "never refused");
-      List<LeaseEffect> effects = new ArrayList<>(handle(new LeaseEvent.EntryHeard("entry")));
+      List<LeaseEffect> effects =
+          new ArrayList<>(handle(new LeaseEvent.EntryHostMessageReceived("entry")));
       effects.addAll(handle(new LeaseEvent.Tick()));
       reports = reports(effects);
     }
     assertTrue(reports.getFirst().outcome() instanceof WorkOutcome.NotRun);
-    join("u1");
+    addUpstream("u1");
     List<LeaseEffect> effects = handle(submitted(7, request, 1_000));
     assertTrue(starts(effects).isEmpty());
     assertEquals(reports(effects).size(), 1);
@@ -451,8 +475,8 @@
   /** The caller leaves: what runs for it is stopped at once. */
   @Test
   public void stopsTheWorkOfCallersThatLeave() {
-    join("u1");
-    RunId run = starts(submit("w", 1, HALF)).getFirst().run();
+    addUpstream("u1");
+    RunId run = starts(submit("w", 1, HALF_CAPACITY)).getFirst().run();
     assertEquals(
         stops(handle(new LeaseEvent.Cancelled("entry", TOKEN, "w"))).getFirst().run(), run);
   }
@@ -463,13 +487,15 @@
    * for a run that nobody wants.
    */
   @Test
-  public void takesNoConfirmationOfStartsForThatOfStops() {
-    UpstreamNotice upstream = join("u1");
-    RunId run = starts(submit("w", 1, HALF)).getFirst().run();
+  public void doesNotTreatStartConfirmationAsStopConfirmation() {
+    UpstreamAnnouncement upstream = addUpstream("u1");
+    RunId run = starts(submit("w", 1, HALF_CAPACITY)).getFirst().run();
     handle(new LeaseEvent.Cancelled("entry", TOKEN, "w"));
-    handle(new LeaseEvent.StartAnswered(upstream, run, OrderResult.DONE, OptionalLong.of(clock())));
+    handle(
+        new LeaseEvent.StartAnswered(
+            upstream, run, OrderResult.DONE, OptionalLong.of(upstreamClock())));
     handle(new LeaseEvent.StopAnswered(upstream, run, OrderResult.NO_ANSWER, OptionalLong.empty()));
-    List<LeaseEffect> effects = list(upstream, List.of(run), List.of());
+    List<LeaseEffect> effects = answerOpenRenewal(upstream, List.of(run), List.of());
     assertEquals(stops(effects).size(), 1);
     assertEquals(renewals(effects).getFirst().deadlineMillis(), 0);
   }
@@ -479,25 +505,25 @@
    */
   @Test
   public void dropsTheWorkOfSilentEntryHosts() {
-    join("u1");
-    starts(submit("w", 1, HALF));
+    addUpstream("u1");
+    starts(submit("w", 1, HALF_CAPACITY));
     now += 200;
     assertTrue(stops(handle(new LeaseEvent.Tick())).isEmpty());
     now += 200;
     handle(new LeaseEvent.Tick());
-    now += LeaseTerms.ENTRY_LOST_MILLIS - 400 + 1;
+    now += LeaseTiming.ENTRY_HOST_SILENCE_TIMEOUT_MILLIS - 400 + 1;
     assertEquals(stops(handle(new LeaseEvent.Tick())).size(), 1);
   }
 
   /** A process that stood still has lost the role, whatever it believes. */
   @Test
-  public void givesTheRoleUpAfterStalls() {
-    join("u1");
+  public void givesUpRoleAfterProcessPause() {
+    addUpstream("u1");
     now += 300;
-    List<LeaseEffect> effects = submit("w", 1, HALF);
+    List<LeaseEffect> effects = submit("w", 1, HALF_CAPACITY);
     assertTrue(starts(effects).isEmpty());
-    assertTrue(effects.stream().anyMatch(LeaseEffect.Stalled.class::isInstance));
-    assertFalse(dispatcher.dispatches());
+    assertTrue(effects.stream().anyMatch(LeaseEffect.RoleReleased.class::isInstance));
+    assertFalse(dispatcher.isDispatching());
   }
 
   /**
@@ -506,64 +532,65 @@
    * passed there, before any start can get a lease that holds.
    */
   @Test
-  public void givesTheRoleUpAfterStandstillsThatItsOwnClockDoesNotShow() {
-    UpstreamNotice upstream = join("u1");
-    list(upstream, List.of(), List.of());
-    clockAhead = 3_000;
-    List<LeaseEffect> effects = list(upstream, List.of(), List.of());
-    assertTrue(effects.stream().anyMatch(LeaseEffect.Stalled.class::isInstance));
-    assertFalse(dispatcher.dispatches());
+  public void givesUpRoleAfterPauseNotShownByOwnClock() {
+    UpstreamAnnouncement upstream = addUpstream("u1");
+    answerOpenRenewal(upstream, List.of(), List.of());
+    clockAheadMillis = 3_000;
+    List<LeaseEffect> effects = answerOpenRenewal(upstream, List.of(), List.of());
+    assertTrue(effects.stream().anyMatch(LeaseEffect.RoleReleased.class::isInstance));
+    assertFalse(dispatcher.isDispatching());
   }
 
   /** After a suspension, the clock in a start's answer must not give later starts a valid lease. */
   @Test
-  public void givesTheRoleUpAfterStandstillsThatAnswersToStartsShow() {
-    UpstreamNotice upstream = join("u1");
-    list(upstream, List.of(), List.of());
-    RunId run = starts(submit("w", 1, HALF)).getFirst().run();
-    clockAhead = 3_000;
+  public void givesUpRoleAfterPauseShownByStartAnswer() {
+    UpstreamAnnouncement upstream = addUpstream("u1");
+    answerOpenRenewal(upstream, List.of(), List.of());
+    RunId run = starts(submit("w", 1, HALF_CAPACITY)).getFirst().run();
+    clockAheadMillis = 3_000;
     List<LeaseEffect> effects =
         handle(
             new LeaseEvent.StartAnswered(
-                upstream, run, OrderResult.DONE, OptionalLong.of(clock())));
-    assertTrue(effects.stream().anyMatch(LeaseEffect.Stalled.class::isInstance));
-    assertFalse(dispatcher.dispatches());
+                upstream, run, OrderResult.DONE, OptionalLong.of(upstreamClock())));
+    assertTrue(effects.stream().anyMatch(LeaseEffect.RoleReleased.class::isInstance));
+    assertFalse(dispatcher.isDispatching());
   }
 
   /** After a suspension, the clock in a start's answer must not give later starts a valid lease. */
   @Test
-  public void givesTheRoleUpAfterStandstillsThatAnswersToStopsShow() {
-    UpstreamNotice upstream = join("u1");
-    list(upstream, List.of(), List.of());
-    RunId run = starts(submit("w", 1, HALF)).getFirst().run();
-    clockAhead = 3_000;
+  public void givesUpRoleAfterPauseShownByStopAnswer() {
+    UpstreamAnnouncement upstream = addUpstream("u1");
+    answerOpenRenewal(upstream, List.of(), List.of());
+    RunId run = starts(submit("w", 1, HALF_CAPACITY)).getFirst().run();
+    clockAheadMillis = 3_000;
     List<LeaseEffect> effects =
         handle(
-            new LeaseEvent.StopAnswered(upstream, run, OrderResult.DONE, OptionalLong.of(clock())));
-    assertTrue(effects.stream().anyMatch(LeaseEffect.Stalled.class::isInstance));
-    assertFalse(dispatcher.dispatches());
+            new LeaseEvent.StopAnswered(
+                upstream, run, OrderResult.DONE, OptionalLong.of(upstreamClock())));
+    assertTrue(effects.stream().anyMatch(LeaseEffect.RoleReleased.class::isInstance));
+    assertFalse(dispatcher.isDispatching());
   }
 
   /** An answer that was held up on the network shows no standstill, nor does the next one. */
   @Test
-  public void takesNoSlowAnswerForStandstill() {
-    final UpstreamNotice upstream = join("u1");
-    final long clockThen = clock();
+  public void doesNotTreatDelayedAnswerAsPause() {
+    final UpstreamAnnouncement upstream = addUpstream("u1");
+    final long clockThen = upstreamClock();
     now += 240;
-    handle(new LeaseEvent.EntryHeard("entry"));
+    handle(new LeaseEvent.EntryHostMessageReceived("entry"));
     now += 240;
-    answerAt(openRenewals.get("u1"), clockThen);
-    list(upstream, List.of(), List.of());
-    assertTrue(dispatcher.dispatches());
+    answerWithClock(openRenewals.get("u1"), clockThen);
+    answerOpenRenewal(upstream, List.of(), List.of());
+    assertTrue(dispatcher.isDispatching());
   }
 
   /** An upstream that has seen a higher token is left alone for a while, then outbid. */
   @Test
-  public void outbidsHigherTokensOnlyAfterSeveralRefusals() {
-    UpstreamNotice notice = notice("u1", 1, false);
+  public void supersedesHigherTokenOnlyAfterSeveralRefusals() {
+    UpstreamAnnouncement notice = announcement("u1", 1, false);
     List<LeaseEffect> effects = handle(new LeaseEvent.Announced(notice));
     int refusals = 0;
-    while (effects.stream().noneMatch(LeaseEffect.Outranked.class::isInstance)) {
+    while (effects.stream().noneMatch(LeaseEffect.Superseded.class::isInstance)) {
       List<LeaseEffect.Renew> renewals = renewals(effects);
       effects = new ArrayList<>();
       for (LeaseEffect.Renew renew : renewals) {
@@ -584,9 +611,9 @@
    * ahead that a restarted host was refused for as long as it lived.
    */
   @Test
-  public void countsRefusalsThatComeTogetherAsOne() {
-    UpstreamNotice upstream = join("u1");
-    List<LeaseEffect.Start> starts = starts(submit("w", 2, HALF));
+  public void countsConcurrentRefusalsAsOne() {
+    UpstreamAnnouncement upstream = addUpstream("u1");
+    List<LeaseEffect.Start> starts = starts(submit("w", 2, HALF_CAPACITY));
     List<LeaseEffect> effects = new ArrayList<>();
     for (LeaseEffect.Start start : starts) {
       effects.addAll(
@@ -601,30 +628,30 @@
               new LeaseEvent.StopAnswered(
                   upstream, start.run(), OrderResult.FENCED, OptionalLong.empty())));
     }
-    assertEquals(notes(effects, "outranked").size(), 1);
+    assertEquals(logEvents(effects, "outranked").size(), 1);
   }
 
   /** Lets a later call to the upstream be answered before the one that waits. */
-  private void overtake(UpstreamNotice upstream) {
+  private void answerLaterCallsFirst(UpstreamAnnouncement upstream) {
     now += 15;
-    list(upstream, List.of(), List.of());
-    now += LeaseTerms.DEFAULT.resendMillis() - 15;
-    list(upstream, List.of(), List.of());
+    answerOpenRenewal(upstream, List.of(), List.of());
+    now += LeaseTiming.DEFAULT.resendIntervalMillis() - 15;
+    answerOpenRenewal(upstream, List.of(), List.of());
   }
 
   /** Work of a dead entry host that had waited here would run on until its caller came again. */
   @Test
-  public void countsSilenceOfEntryHostsFromArrivalOfTheirWork() {
-    join("u1");
+  public void measuresEntryHostSilenceFromArrivalOfWork() {
+    addUpstream("u1");
     long arrivedAt = now;
     now += 50;
-    dispatcher.handle(submitted(1, request("w", 1, HALF), 0), arrivedAt, now);
+    dispatcher.handle(submitted(1, request("w", 1, HALF_CAPACITY), 0), arrivedAt, now);
     assertEquals(starts(dispatcher.place(now)).size(), 1);
-    now = arrivedAt + LeaseTerms.ENTRY_LOST_MILLIS / 2;
+    now = arrivedAt + LeaseTiming.ENTRY_HOST_SILENCE_TIMEOUT_MILLIS / 2;
     handle(new LeaseEvent.Tick());
-    now = arrivedAt + LeaseTerms.ENTRY_LOST_MILLIS;
+    now = arrivedAt + LeaseTiming.ENTRY_HOST_SILENCE_TIMEOUT_MILLIS;
     handle(new LeaseEvent.Tick());
-    assertEquals(dispatcher.unanswered(), 1);
+    assertEquals(dispatcher.unansweredCount(), 1);
     now++;
     assertEquals(stops(handle(new LeaseEvent.Tick())).size(), 1);
   }
@@ -637,18 +664,18 @@
 
   /** A host that owns one shard renewed leases on all upstreams, and had no time left for it. */
   @Test
-  public void keepsLeasesInItsShardOnly() {
-    scope(OTHER_SHARD, OWN_SHARD);
-    assertTrue(renewals(handle(new LeaseEvent.Announced(notice("u1", 1, false)))).isEmpty());
-    assertEquals(renewals(scope(OWN_SHARD, OTHER_SHARD)).size(), 1, "taken over at once");
+  public void renewsLeasesInOwnShardOnly() {
+    changeScope(OTHER_SHARD, OWN_SHARD);
+    assertTrue(renewals(handle(new LeaseEvent.Announced(announcement("u1", 1, false)))).isEmpty());
+    assertEquals(renewals(changeScope(OWN_SHARD, OTHER_SHARD)).size(), 1, "taken over at once");
   }
 
   /** A job was given up as impossible, though an upstream of another shard could run it. */
   @Test
-  public void leavesWorkThatOnlyOtherShardsCanRunToThem() {
-    scope(OTHER_SHARD, OWN_SHARD);
-    handle(new LeaseEvent.Announced(notice("u1", 1, false)));
-    WorkOutcome refusal = reports(submit("w", 1, HALF)).getFirst().outcome();
+  public void refusesWorkThatOnlyOtherShardsCanRun() {
+    changeScope(OTHER_SHARD, OWN_SHARD);
+    handle(new LeaseEvent.Announced(announcement("u1", 1, false)));
+    WorkOutcome refusal = reports(submit("w", 1, HALF_CAPACITY)).getFirst().outcome();
     assertEquals(((WorkOutcome.NotRun) refusal).reason(), "no upstream of the shard can run it");
   }
 
@@ -657,14 +684,15 @@
    * nothing more starts there, and its lease is made no longer.
    */
   @Test
-  public void letsRunsEndOnUpstreamsThatLeaveTheShard() {
-    UpstreamNotice upstream = join("u1");
-    RunId run = starts(submit("w", 1, HALF)).getFirst().run();
-    scope(OTHER_SHARD, OWN_SHARD);
-    assertTrue(starts(submit("v", 1, HALF)).isEmpty());
-    LeaseEffect.Renew reading = renewals(list(upstream, List.of(run), List.of())).getFirst();
+  public void finishesRunsOnUpstreamsThatLeaveShard() {
+    UpstreamAnnouncement upstream = addUpstream("u1");
+    RunId run = starts(submit("w", 1, HALF_CAPACITY)).getFirst().run();
+    changeScope(OTHER_SHARD, OWN_SHARD);
+    assertTrue(starts(submit("v", 1, HALF_CAPACITY)).isEmpty());
+    LeaseEffect.Renew reading =
+        renewals(answerOpenRenewal(upstream, List.of(run), List.of())).getFirst();
     assertEquals(reading.deadlineMillis(), 0);
-    List<LeaseEffect> effects = end(upstream, run, 1, RunEnd.Cause.DONE);
+    List<LeaseEffect> effects = endRun(upstream, run, 1, RunEnd.Cause.DONE);
     assertEquals(reports(effects).getFirst().outcome(), new WorkOutcome.Completed());
     assertTrue(renewals(effects).isEmpty(), "nothing is left to read");
   }
@@ -674,10 +702,10 @@
    * Counted, they made this host give its whole shard up for a higher token.
    */
   @Test
-  public void countsNoRefusalsOfUpstreamsThatLeftTheShard() {
-    UpstreamNotice upstream = join("u1");
-    submit("w", 1, HALF);
-    scope(OTHER_SHARD, OWN_SHARD);
+  public void ignoresRefusalsOfUpstreamsThatLeftShard() {
+    UpstreamAnnouncement upstream = addUpstream("u1");
+    submit("w", 1, HALF_CAPACITY);
+    changeScope(OTHER_SHARD, OWN_SHARD);
     List<LeaseEffect> effects = new ArrayList<>();
     LeaseEffect.Renew open = openRenewals.getOrDefault("u1", firstRenewal(upstream));
     effects.addAll(answer(open, OrderResult.FENCED, List.of(), List.of()));
@@ -686,20 +714,20 @@
       effects.addAll(handle(new LeaseEvent.Tick()));
     }
     assertTrue(renewals(effects).isEmpty());
-    assertTrue(only(effects, LeaseEffect.Outranked.class).isEmpty());
-    assertEquals(notes(effects, "lease-over").size(), 1, "the run is over with its lease");
+    assertTrue(effectsOfType(effects, LeaseEffect.Superseded.class).isEmpty());
+    assertEquals(logEvents(effects, "lease-over").size(), 1, "the run is over with its lease");
   }
 
-  private List<LeaseEffect> scope(ShardId own, ShardId other) {
-    return handle(new LeaseEvent.ScopeChanged(own, Set.of(own, other)));
+  private List<LeaseEffect> changeScope(ShardId own, ShardId other) {
+    return handle(new LeaseEvent.ShardsChanged(own, Set.of(own, other)));
   }
 
-  private long clock() {
-    return CLOCK + now + clockAhead;
+  private long upstreamClock() {
+    return UPSTREAM_CLOCK_OFFSET + now + clockAheadMillis;
   }
 
-  private static UpstreamNotice notice(String id, long sequence, boolean leaving) {
-    return new UpstreamNotice(
+  private static UpstreamAnnouncement announcement(String id, long sequence, boolean leaving) {
+    return new UpstreamAnnouncement(
         id,
         1,
         sequence,
@@ -712,15 +740,15 @@
   }
 
   /** Announces an upstream and answers its first renewal. */
-  private UpstreamNotice join(String id) {
-    UpstreamNotice notice = notice(id, 1, false);
+  private UpstreamAnnouncement addUpstream(String id) {
+    UpstreamAnnouncement notice = announcement(id, 1, false);
     List<LeaseEffect> effects = handle(new LeaseEvent.Announced(notice));
-    lastRenewal(effects, notice);
-    list(notice, List.of(), List.of());
+    recordRenewals(effects, notice);
+    answerOpenRenewal(notice, List.of(), List.of());
     return notice;
   }
 
-  private void lastRenewal(List<LeaseEffect> effects, UpstreamNotice notice) {
+  private void recordRenewals(List<LeaseEffect> effects, UpstreamAnnouncement notice) {
     for (LeaseEffect.Renew renew : renewals(effects)) {
       openRenewals.put(renew.upstream().id(), renew);
     }
@@ -728,7 +756,8 @@
   }
 
   /** Answers the open renewal of an upstream with lists. */
-  private List<LeaseEffect> list(UpstreamNotice upstream, List<RunId> running, List<RunEnd> ended) {
+  private List<LeaseEffect> answerOpenRenewal(
+      UpstreamAnnouncement upstream, List<RunId> running, List<RunEnd> ended) {
     LeaseEffect.Renew open =
         Optional.ofNullable(openRenewals.get(upstream.id()))
             .orElseGet(() -> firstRenewal(upstream));
@@ -738,16 +767,16 @@
   }
 
   /** Returns the renewal that followed the announcement, which is the first one of all. */
-  private LeaseEffect.Renew firstRenewal(UpstreamNotice upstream) {
+  private LeaseEffect.Renew firstRenewal(UpstreamAnnouncement upstream) {
     return new LeaseEffect.Renew(upstream, 1, TOKEN, 0, 0, 0, 40);
   }
 
-  private List<LeaseEffect> end(
-      UpstreamNotice upstream, RunId run, long number, RunEnd.Cause cause) {
-    return list(upstream, List.of(), List.of(new RunEnd(number, run, cause)));
+  private List<LeaseEffect> endRun(
+      UpstreamAnnouncement upstream, RunId run, long number, RunEnd.Cause cause) {
+    return answerOpenRenewal(upstream, List.of(), List.of(new RunEnd(number, run, cause)));
   }
 
-  private void silence(UpstreamNotice upstream) {
+  private void loseRenewalAnswers(UpstreamAnnouncement upstream) {
     for (int times = 0; times < 3; times++) {
       LeaseEffect.Renew open = openRenewals.get(upstream.id());
       List<LeaseEffect> effects =
@@ -757,12 +786,12 @@
     }
   }
 
-  private void answerAt(LeaseEffect.Renew renew, long clock) {
+  private void answerWithClock(LeaseEffect.Renew renew, long clock) {
     List<LeaseEffect> effects =
         handle(
             new LeaseEvent.RenewalAnswered(
                 renew.upstream(),
-                renew.renewal(),
+                renew.renewalNumber(),
                 OrderResult.DONE,
                 OptionalLong.of(clock),
                 List.of(),
@@ -774,7 +803,12 @@
       LeaseEffect.Renew renew, OrderResult result, List<RunId> running, List<RunEnd> ended) {
     return handle(
         new LeaseEvent.RenewalAnswered(
-            renew.upstream(), renew.renewal(), result, OptionalLong.of(clock()), running, ended));
+            renew.upstream(),
+            renew.renewalNumber(),
+            result,
+            OptionalLong.of(upstreamClock()),
+            running,
+            ended));
   }
 
   private static WorkRequest request(String id, int tasks, TaskSize size) {
@@ -791,28 +825,28 @@
   }
 
   private static List<LeaseEffect.Start> starts(List<LeaseEffect> effects) {
-    return only(effects, LeaseEffect.Start.class);
+    return effectsOfType(effects, LeaseEffect.Start.class);
   }
 
   private static List<LeaseEffect.Stop> stops(List<LeaseEffect> effects) {
-    return only(effects, LeaseEffect.Stop.class);
+    return effectsOfType(effects, LeaseEffect.Stop.class);
   }
 
   private static List<LeaseEffect.Renew> renewals(List<LeaseEffect> effects) {
-    return only(effects, LeaseEffect.Renew.class);
+    return effectsOfType(effects, LeaseEffect.Renew.class);
   }
 
   private static List<LeaseEffect.Report> reports(List<LeaseEffect> effects) {
-    return only(effects, LeaseEffect.Report.class);
+    return effectsOfType(effects, LeaseEffect.Report.class);
   }
 
-  private static List<LeaseEffect.Note> notes(List<LeaseEffect> effects, String event) {
-    return only(effects, LeaseEffect.Note.class).stream()
+  private static List<LeaseEffect.LogEvent> logEvents(List<LeaseEffect> effects, String event) {
+    return effectsOfType(effects, LeaseEffect.LogEvent.class).stream()
         .filter(note -> note.event().equals(event))
         .toList();
   }
 
-  private static <T> List<T> only(List<LeaseEffect> effects, Class<T> kind) {
+  private static <T> List<T> effectsOfType(List<LeaseEffect> effects, Class<T> kind) {
     return effects.stream().filter(kind::isInstance).map(kind::cast).toList();
   }
 }
--- a/burdockbay-core/src/test/java/org/burdockbay/core/lease/LeaseFuzzTest.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/lease/LeaseFuzzTest.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.SplittableRandom;
-import org.burdockbay.core.FuzzDepth;
+import org.burdockbay.core.FuzzOptions;
 import org.burdockbay.core.shard.ShardLayout;
 import org.testng.annotations.AfterClass;
 import org.testng.annotations.DataProvider;
@@ -12,7 +12,7 @@
 public class LeaseFuzzTest {
 
   private static final int STEPS = 120;
-  private static final int GROWS_AT = 40;
+  private static final int GROWTH_STEP = 40;
   private static final int RUNS = 40;
 
   /**
@@ -22,8 +22,8 @@
    * The cause would be a gap between lease, fencing token and the time that a successor waits.
    */
   @Test
-  public void overlapsNoTwoRunsOfTaskThroughFaults() {
-    playAll(LeaseModel.Network.SPACED, false);
+  public void neverOverlapsRunsOfTaskDuringFaults() {
+    simulateAll(LeaseModel.Network.DISTINCT_TIMES, false);
   }
 
   /**
@@ -32,8 +32,8 @@
    * from a clock.
    */
   @Test
-  public void overlapsNoTwoRunsOfTaskWhereEventsFallTogether() {
-    playAll(LeaseModel.Network.TIED, false);
+  public void neverOverlapsRunsOfTaskWithSimultaneousEvents() {
+    simulateAll(LeaseModel.Network.SIMULTANEOUS, false);
   }
 
   /**
@@ -41,8 +41,8 @@
    * before it. The cause would be old work or an old answer that is taken for fresh.
    */
   @Test
-  public void overlapsNoTwoRunsOfTaskWhereControlOvertakesWork() {
-    playAll(LeaseModel.Network.LAGGING, false);
+  public void neverOverlapsRunsOfTaskWhenControlOvertakesWork() {
+    simulateAll(LeaseModel.Network.LAGGING, false);
   }
 
   /**
@@ -52,20 +52,20 @@
    * they serve.
    */
   @Test
-  public void overlapsNoTwoRunsOfTaskInDividedFleet() {
-    playAll(LeaseModel.Network.SPACED, true);
+  public void neverOverlapsRunsOfTaskInDividedFleet() {
+    simulateAll(LeaseModel.Network.DISTINCT_TIMES, true);
   }
 
   /** The same in a divided fleet, where events fall together. */
   @Test
-  public void overlapsNoTwoRunsOfTaskInDividedFleetWhereEventsFallTogether() {
-    playAll(LeaseModel.Network.TIED, true);
+  public void neverOverlapsRunsOfTaskInDividedFleetWithSimultaneousEvents() {
+    simulateAll(LeaseModel.Network.SIMULTANEOUS, true);
   }
 
   /** A task ran twice after a connection broke with a submission or cancellation under way. */
   @Test(dataProvider = "networks")
-  public void overlapsNoTwoRunsOfTaskOverOrderedConnections(LeaseModel.Network network) {
-    playAll(network, true, true);
+  public void neverOverlapsRunsOfTaskOverOrderedConnections(LeaseModel.Network network) {
+    simulateAll(network, true, true);
   }
 
   /** Returns all kinds of network. */
@@ -74,16 +74,17 @@
     return LeaseModel.Network.values();
   }
 
-  private static void playAll(LeaseModel.Network network, boolean divided) {
-    playAll(network, divided, false);
+  private static void simulateAll(LeaseModel.Network network, boolean divided) {
+    simulateAll(network, divided, false);
   }
 
-  private static void playAll(LeaseModel.Network network, boolean divided, boolean ordered) {
-    int runs = FuzzDepth.examples(RUNS);
+  private static void simulateAll(LeaseModel.Network network, boolean divided, boolean ordered) {
+    int runs = FuzzOptions.exampleCount(RUNS);
     for (int run = 0; run < runs; run++) {
-      long seed = FuzzDepth.seed() + run;
+      long seed = FuzzOptions.seed() + run;
       try {
-        play(seed, network, divided ? divided(seed) : ShardLayout.UNDIVIDED, true, ordered);
+        simulate(
+            seed, network, divided ? dividedLayout(seed) : ShardLayout.UNDIVIDED, true, ordered);
       } catch (AssertionError e) {
         throw new AssertionError("seed " + seed + ": " + e.getMessage(), e);
       }
@@ -104,77 +105,77 @@
    * earlier role, and so told of no time to wait, was taken up under a new token.
    */
   @Test
-  public void keepsHoldingForSeedsThatOnceFailed() {
+  public void neverOverlapsRunsOfTaskForSeedsThatOnceFailed() {
     for (long seed : new long[] {20261204, 20261206, 20261210, 20261221, 255, 20261340, 20261417}) {
-      playAsFound(seed, LeaseModel.Network.SPACED);
+      simulateOriginalFaults(seed, LeaseModel.Network.DISTINCT_TIMES);
     }
-    playAsFound(20261278, LeaseModel.Network.TIED);
-    playAsFound(20261504, LeaseModel.Network.TIED);
+    simulateOriginalFaults(20261278, LeaseModel.Network.SIMULTANEOUS);
+    simulateOriginalFaults(20261504, LeaseModel.Network.SIMULTANEOUS);
   }
 
   /** Prints the figures of the run. */
   @AfterClass
   public void printFigures() {
-    System.out.println(FuzzDepth.figures("lease"));
+    System.out.println(FuzzOptions.summary("lease"));
   }
 
   /** Plays a seed with the faults that there were when it showed one. */
-  private static void playAsFound(long seed, LeaseModel.Network network) {
-    play(seed, network, ShardLayout.UNDIVIDED, false, false);
+  private static void simulateOriginalFaults(long seed, LeaseModel.Network network) {
+    simulate(seed, network, ShardLayout.UNDIVIDED, false, false);
   }
 
   /** Returns a layout of one or two shards in each domain. */
-  private static ShardLayout divided(long seed) {
+  private static ShardLayout dividedLayout(long seed) {
     return new ShardLayout(1 + (int) (seed & 1));
   }
 
-  private static void play(
+  private static void simulate(
       long seed,
       LeaseModel.Network network,
       ShardLayout layout,
       boolean connectionsBreak,
       boolean ordered) {
     LeaseModel model = new LeaseModel(seed, network, layout, 2 + layout.shardsPerDomain() / 2, 3);
-    model.connectionsBreak = connectionsBreak;
-    model.ordered = ordered;
+    model.breaksConnections = connectionsBreak;
+    model.orderedDelivery = ordered;
     SplittableRandom random = new SplittableRandom(~seed);
     for (int step = 0; step < STEPS; step++) {
-      if (step == GROWS_AT) {
-        model.grow();
+      if (step == GROWTH_STEP) {
+        model.growFleet();
       }
       int burst = 1 + random.nextInt(3);
       for (int i = 0; i < burst; i++) {
         model.submit(1 + random.nextInt(4));
       }
       if (random.nextInt(4) == 0) {
-        disturb(model, random);
+        injectFault(model, random);
       }
       if (connectionsBreak) {
         breakConnections(model);
       }
       model.advance(20 + random.nextLong(300));
     }
-    model.heal();
-    FuzzDepth.count("lease", model.starts, model.answers);
+    model.recoverAndVerify();
+    FuzzOptions.recordExample("lease", model.starts, model.answers);
   }
 
   /** Resets the connections between two hosts, and those of callers, some of them meanwhile. */
   private static void breakConnections(LeaseModel model) {
-    SplittableRandom random = model.faults();
+    SplittableRandom random = model.faultRandom();
     if (random.nextInt(6) == 0) {
       ModelEntryHost one = host(model, random);
       ModelEntryHost other = host(model, random);
       if (one != other) {
         model.resetConnections(one, other, random.nextLong(600));
-        model.after(random.nextLong(300), one::loseCaller);
+        model.schedule(random.nextLong(300), one::breakCallerConnection);
       }
     }
     if (random.nextInt(4) == 0) {
-      host(model, random).loseCaller();
+      host(model, random).breakCallerConnection();
     }
   }
 
-  private static void disturb(LeaseModel model, SplittableRandom random) {
+  private static void injectFault(LeaseModel model, SplittableRandom random) {
     ModelEntryHost host = host(model, random);
     ModelUpstream upstream = model.upstreams.get(random.nextInt(model.upstreams.size()));
     int fault = random.nextInt(16);
@@ -183,34 +184,41 @@
       case 0, 1 -> {
         if (host.up && model.hosts.values().stream().filter(each -> each.up).count() > 2) {
           model.kill(host);
-          model.after(200 + random.nextLong(4_000), host::recover);
+          model.schedule(200 + random.nextLong(4_000), host::recover);
         }
       }
-      case 2 -> freeze(model, random, host, false);
-      case 3 -> freeze(model, random, host, true);
+      case 2 -> pause(model, random, host, false);
+      case 3 -> pause(model, random, host, true);
       case 4, 5 -> {
         String domain = List.of("north", "south", "east").get(random.nextInt(3));
-        model.cutDomains.add(domain);
-        model.after(300 + random.nextLong(5_000), () -> model.cutDomains.remove(domain));
+        model.isolatedDomains.add(domain);
+        model.schedule(300 + random.nextLong(5_000), () -> model.isolatedDomains.remove(domain));
       }
       case 6 -> {
         if (upstream.up) {
           upstream.crash();
-          model.after(100 + random.nextLong(3_000), upstream::restart);
+          model.schedule(100 + random.nextLong(3_000), upstream::restart);
         }
       }
       case 7 ->
-          toggleLater(model, random, () -> upstream.hangs = true, () -> upstream.hangs = false);
+          enableTemporarily(
+              model, random, () -> upstream.hangsTasks = true, () -> upstream.hangsTasks = false);
       case 8 ->
-          toggleLater(
-              model, random, () -> upstream.failsAll = true, () -> upstream.failsAll = false);
-      case 9, 10 -> toggleLater(model, random, () -> model.heldUp = 0.05, () -> model.heldUp = 0);
+          enableTemporarily(
+              model,
+              random,
+              () -> upstream.failsAllTasks = true,
+              () -> upstream.failsAllTasks = false);
+      case 9, 10 ->
+          enableTemporarily(
+              model, random, () -> model.delayedCallShare = 0.05, () -> model.delayedCallShare = 0);
       case 11, 12 ->
-          toggleLater(model, random, () -> model.answerLost = 0.1, () -> model.answerLost = 0);
+          enableTemporarily(
+              model, random, () -> model.lostAnswerShare = 0.1, () -> model.lostAnswerShare = 0);
       case 13 -> {
-        if (host.up && !host.frozen) {
+        if (host.up && !host.paused) {
           host.drain();
-          model.after(
+          model.schedule(
               2_600,
               () -> {
                 if (host.up) {
@@ -221,8 +229,8 @@
         }
       }
       default -> {
-        if (host.up && host.dispatches()) {
-          freeze(model, random, host, random.nextBoolean());
+        if (host.up && host.isDispatching()) {
+          pause(model, random, host, random.nextBoolean());
         }
       }
     }
@@ -233,15 +241,15 @@
     return hosts.get(random.nextInt(hosts.size()));
   }
 
-  private static void freeze(
+  private static void pause(
       LeaseModel model, SplittableRandom random, ModelEntryHost host, boolean clockToo) {
-    host.freeze(clockToo);
-    model.after(200 + random.nextLong(4_000), host::thaw);
+    host.pause(clockToo);
+    model.schedule(200 + random.nextLong(4_000), host::resume);
   }
 
-  private static void toggleLater(
+  private static void enableTemporarily(
       LeaseModel model, SplittableRandom random, Runnable on, Runnable off) {
     on.run();
-    model.after(500 + random.nextLong(5_000), off);
+    model.schedule(500 + random.nextLong(5_000), off);
   }
 }
--- a/burdockbay-core/src/test/java/org/burdockbay/core/lease/LeaseModel.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/lease/LeaseModel.java
@@ -31,62 +31,62 @@
   private static final List<String> DOMAINS = List.of("north", "south", "east");
   private static final long FAULTS_SEED = 0x5DEECE66DL;
 
-  private static final long RESEND_MILLIS = 1_300;
-  static final long PATIENCE_MILLIS = 2_500;
+  private static final long CALLER_RETRY_DELAY_MILLIS = 1_300;
+  static final long CALLER_TIMEOUT_MILLIS = 2_500;
 
   /** Time after the last fault by which callers are served again, by the stated aim. */
-  static final long RECOVERY_MILLIS = 12_000;
+  static final long MAX_RECOVERY_MILLIS = 12_000;
 
-  private static final long RECONNECT_MILLIS = 100;
-  private static final long LONGEST_WORK_MILLIS = 900;
-  private static final long MOST_HANDLING_MILLIS = 200;
+  private static final long RECONNECT_INTERVAL_MILLIS = 100;
+  private static final long MAX_RUN_MILLIS = 900;
+  private static final long MAX_HANDLING_MILLIS = 200;
 
   private final SplittableRandom random;
-  private final SplittableRandom faults;
+  private final SplittableRandom faultRandom;
   private final Network network;
   private final ShardLayout layout;
   private final Map<Set<ModelEntryHost>, Link> links = new HashMap<>();
-  private final PriorityQueue<Timed> queue = new PriorityQueue<>();
+  private final PriorityQueue<ScheduledAction> queue = new PriorityQueue<>();
   private final Map<TaskId, ModelUpstream> runningOn = new HashMap<>();
-  private final Map<TaskId, Integer> finished = new HashMap<>();
-  private final Set<String> begun = new HashSet<>();
-  private final Set<String> notRun = new HashSet<>();
+  private final Map<TaskId, Integer> finishedRuns = new HashMap<>();
+  private final Set<String> startedWork = new HashSet<>();
+  private final Set<String> refusedWork = new HashSet<>();
 
   /** Work whose first submission got no answer; a refusal of a later one says nothing about it. */
-  private final Set<String> broken = new HashSet<>();
+  private final Set<String> resubmittedWork = new HashSet<>();
 
   final Map<String, ModelEntryHost> hosts = new LinkedHashMap<>();
   final List<ModelUpstream> upstreams = new ArrayList<>();
-  final Set<String> cutDomains = new HashSet<>();
+  final Set<String> isolatedDomains = new HashSet<>();
 
   /** Whether connections between hosts break, and hosts are told. */
-  boolean connectionsBreak;
+  boolean breaksConnections;
 
   /**
    * Whether what one host sends to another arrives in that order, and is lost with the connection.
    * Otherwise each submission and cancellation takes a time of its own.
    */
-  boolean ordered;
+  boolean orderedDelivery;
 
   /** Share of calls to upstreams that aren't answered and carried out seconds later. */
-  double heldUp;
+  double delayedCallShare;
 
   /** Share of calls to upstreams that are carried out and whose answer is lost. */
-  double answerLost;
+  double lostAnswerShare;
 
   /** What handling an event takes of a host's processor, in microseconds; 0 for no limit. */
   long eventMicros;
 
   /** Whether the fleet is as large as the layout is meant for; in half of the plays only later. */
-  private boolean grown;
+  private boolean isFullSize;
 
   int answers;
   int completed;
   int starts;
   private long now;
-  private long order;
-  private int works;
-  private boolean healed;
+  private long sequence;
+  private int submittedWork;
+  private boolean faultsEnded;
 
   LeaseModel(
       long seed, Network network, ShardLayout layout, int hostsInDomain, int upstreamsInDomain) {
@@ -103,10 +103,10 @@
       long beginsAtMillis) {
     now = beginsAtMillis;
     random = new SplittableRandom(seed);
-    faults = new SplittableRandom(seed ^ FAULTS_SEED);
+    faultRandom = new SplittableRandom(seed ^ FAULTS_SEED);
     this.network = network;
     this.layout = layout;
-    this.grown = (seed & 2) == 0;
+    this.isFullSize = (seed & 2) == 0;
     int number = 0;
     for (String domain : DOMAINS) {
       for (int i = 0; i < hostsInDomain; i++) {
@@ -115,12 +115,12 @@
         hosts.put(host.name, host);
       }
       for (int i = 0; i < upstreamsInDomain; i++) {
-        double rate = random.nextBoolean() ? 1 : LeaseTerms.SLOWEST_CLOCK;
+        double rate = random.nextBoolean() ? 1 : LeaseTiming.MIN_CLOCK_RATE;
         upstreams.add(new ModelUpstream(this, "u-" + domain + i, domain, rate));
       }
     }
     hosts.values().forEach(ModelEntryHost::start);
-    upstreams.forEach(this::announceAgain);
+    upstreams.forEach(this::announcePeriodically);
     advance(1_500);
   }
 
@@ -133,18 +133,18 @@
   }
 
   /** Random numbers of the faults that came later, so that earlier plays stay as they were. */
-  SplittableRandom faults() {
-    return faults;
+  SplittableRandom faultRandom() {
+    return faultRandom;
   }
 
   /** Lets the fleet grow, so that hosts divide it as they hear of its upstreams. */
-  void grow() {
-    grown = true;
+  void growFleet() {
+    isFullSize = true;
   }
 
   /** Returns the layout that suits the fleet as large as it is by now. */
   ShardLayout layout() {
-    return grown ? layout : ShardLayout.UNDIVIDED;
+    return isFullSize ? layout : ShardLayout.UNDIVIDED;
   }
 
   Link link(ModelEntryHost one, ModelEntryHost other) {
@@ -158,44 +158,44 @@
       trace("faults", "reset " + one.name + " " + other.name + " millis=" + millis);
       link.down = true;
       link.generation++;
-      link.streams.clear();
-      after(millis, () -> connectAgain(link, one, other));
+      link.channels.clear();
+      schedule(millis, () -> reconnect(link, one, other));
     }
   }
 
   /** A connection that has lost a message in a cut is a new one once the cut is over. */
-  void renewIfLossy(Link link, ModelEntryHost one, ModelEntryHost other) {
-    if (connectionsBreak && link.lossy && !link.down) {
+  void reconnectIfLossy(Link link, ModelEntryHost one, ModelEntryHost other) {
+    if (breaksConnections && link.lossy && !link.down) {
       link.lossy = false;
-      connectAgain(link, one, other);
+      reconnect(link, one, other);
     }
   }
 
-  private void connectAgain(Link link, ModelEntryHost one, ModelEntryHost other) {
+  private void reconnect(Link link, ModelEntryHost one, ModelEntryHost other) {
     if (!connected(one.domain, other.domain)) {
-      after(RECONNECT_MILLIS, () -> connectAgain(link, one, other));
+      schedule(RECONNECT_INTERVAL_MILLIS, () -> reconnect(link, one, other));
       return;
     }
     link.down = false;
-    one.reset(other);
-    other.reset(one);
+    one.handleReconnect(other);
+    other.handleReconnect(one);
   }
 
-  long workMillis() {
-    return 20 + random.nextLong(LONGEST_WORK_MILLIS);
+  long randomRunMillis() {
+    return 20 + random.nextLong(MAX_RUN_MILLIS);
   }
 
-  void after(long millis, Runnable action) {
-    order++;
-    long place = network == Network.TIED ? random.nextLong() : order;
-    queue.add(new Timed(now + Math.max(0, millis), place, action));
+  void schedule(long millis, Runnable action) {
+    sequence++;
+    long place = network == Network.SIMULTANEOUS ? random.nextLong() : sequence;
+    queue.add(new ScheduledAction(now + Math.max(0, millis), place, action));
   }
 
   /** Runs everything that is due within the given time. */
   void advance(long millis) {
     long until = now + millis;
     while (!queue.isEmpty() && queue.peek().at <= until) {
-      Timed next = queue.remove();
+      ScheduledAction next = queue.remove();
       now = next.at;
       next.action.run();
     }
@@ -203,34 +203,34 @@
   }
 
   /** Returns how long a message between two domains takes this time, in milliseconds. */
-  long oneWayMillis(String from, String to) {
-    boolean near = network == Network.TIED && from.equals(to);
+  long randomLatencyMillis(String from, String to) {
+    boolean near = network == Network.SIMULTANEOUS && from.equals(to);
     return near ? random.nextLong(2) : 1 + random.nextLong(3);
   }
 
   /** Returns for how long a host's control thread is busy before it handles what has arrived. */
-  long busyMillis() {
-    boolean busy = network == Network.TIED && random.nextInt(8) == 0;
+  long randomBusyMillis() {
+    boolean busy = network == Network.SIMULTANEOUS && random.nextInt(8) == 0;
     return busy ? 1 + random.nextLong(6) : 0;
   }
 
   /** Returns how long a host needs for a piece of work beyond what it has queued. */
-  long handlingMillis() {
-    return !healed && random.nextInt(4) == 0 ? random.nextLong(MOST_HANDLING_MILLIS) : 0;
+  long randomHandlingMillis() {
+    return !faultsEnded && random.nextInt(4) == 0 ? random.nextLong(MAX_HANDLING_MILLIS) : 0;
   }
 
   /** Returns whether work waits at hosts that are behind. */
-  boolean lags() {
+  boolean delaysWork() {
     return network == Network.LAGGING;
   }
 
-  boolean batches() {
-    return network == Network.TIED;
+  boolean batchesEvents() {
+    return network == Network.SIMULTANEOUS;
   }
 
   /** Returns whether two domains can reach each other. */
   boolean connected(String one, String other) {
-    return one.equals(other) || !(cutDomains.contains(one) || cutDomains.contains(other));
+    return one.equals(other) || !(isolatedDomains.contains(one) || isolatedDomains.contains(other));
   }
 
   ModelEntryHost anyHost() {
@@ -240,35 +240,45 @@
 
   /** A caller submits new work at some host. */
   void submit(int tasks) {
-    works++;
+    submittedWork++;
     WorkStep step = WorkStep.of(tasks, new TaskSize(TASK_CPU, 64, 0), 20 + random.nextLong(600));
     WorkRequest request =
         new WorkRequest(
-            "w" + works, "q", "desk", "x", List.of(step), 0, 3, 1.6, 60, PATIENCE_MILLIS);
+            "w" + submittedWork,
+            "q",
+            "desk",
+            "x",
+            List.of(step),
+            0,
+            3,
+            1.6,
+            60,
+            CALLER_TIMEOUT_MILLIS);
     submitAt(anyHost(), request);
   }
 
   /** The caller's connection broke: the work comes again later, at any host. */
-  void brokenConnection(WorkRequest request) {
-    broken.add(request.id());
-    after(RESEND_MILLIS, () -> submitAt(anyHost(), request));
+  void resubmitLater(WorkRequest request) {
+    resubmittedWork.add(request.id());
+    schedule(CALLER_RETRY_DELAY_MILLIS, () -> submitAt(anyHost(), request));
   }
 
-  void answered(WorkRequest request, WorkOutcome outcome) {
+  void recordAnswer(WorkRequest request, WorkOutcome outcome) {
     answers++;
     trace("caller", "answered " + request.id() + " " + outcome);
     switch (outcome) {
       case WorkOutcome.Completed done -> {
         completed++;
-        for (int index = 0; index < request.steps().getFirst().tasks(); index++) {
+        for (int index = 0; index < request.steps().getFirst().taskCount(); index++) {
           TaskId task = new TaskId(request.id(), 0, index);
-          check(finished.containsKey(task), request.id() + " is said to be done without " + task);
+          check(
+              finishedRuns.containsKey(task), request.id() + " is said to be done without " + task);
         }
       }
       case WorkOutcome.NotRun refused -> {
-        if (!broken.contains(request.id())) {
-          check(!begun.contains(request.id()), request.id() + " is said not to have run");
-          notRun.add(request.id());
+        if (!resubmittedWork.contains(request.id())) {
+          check(!startedWork.contains(request.id()), request.id() + " is said not to have run");
+          refusedWork.add(request.id());
         }
       }
       default -> {
@@ -277,20 +287,20 @@
     }
   }
 
-  void began(RunId run, ModelUpstream upstream) {
+  void recordStart(RunId run, ModelUpstream upstream) {
     starts++;
     trace(upstream.id, "began " + run);
-    begun.add(run.task().work());
-    check(!notRun.contains(run.task().work()), run + " starts after a refusal");
+    startedWork.add(run.task().work());
+    check(!refusedWork.contains(run.task().work()), run + " starts after a refusal");
     ModelUpstream other = runningOn.put(run.task(), upstream);
-    check(other == null, run + " starts on " + upstream.id + " and runs on " + name(other));
+    check(other == null, run + " starts on " + upstream.id + " and runs on " + idOf(other));
   }
 
-  void ended(RunId run, ModelUpstream upstream, RunEnd.Cause cause) {
+  void recordEnd(RunId run, ModelUpstream upstream, RunEnd.Cause cause) {
     trace(upstream.id, "ended " + run + " cause=" + cause);
     runningOn.remove(run.task(), upstream);
     if (cause == RunEnd.Cause.DONE) {
-      finished.merge(run.task(), 1, Integer::sum);
+      finishedRuns.merge(run.task(), 1, Integer::sum);
     }
   }
 
@@ -299,23 +309,23 @@
   }
 
   /** Ends all faults, and checks that nobody waits for ever. */
-  void heal() {
-    healed = true;
-    cutDomains.clear();
-    heldUp = 0;
-    answerLost = 0;
+  void recoverAndVerify() {
+    faultsEnded = true;
+    isolatedDomains.clear();
+    delayedCallShare = 0;
+    lostAnswerShare = 0;
     hosts.values().forEach(ModelEntryHost::recover);
     upstreams.forEach(
         upstream -> {
-          upstream.failsAll = false;
-          upstream.hangs = false;
+          upstream.failsAllTasks = false;
+          upstream.hangsTasks = false;
           if (!upstream.up) {
             upstream.restart();
           }
         });
-    advance(RECOVERY_MILLIS);
+    advance(MAX_RECOVERY_MILLIS);
     for (ModelEntryHost host : hosts.values()) {
-      check(host.waiting() == 0, host.name + " owes " + host.waiting() + " answers");
+      check(host.waitingCallers() == 0, host.name + " owes " + host.waitingCallers() + " answers");
     }
     int before = completed;
     for (int i = 0; i < 6; i++) {
@@ -344,32 +354,32 @@
     host.submit(request);
   }
 
-  private void announceAgain(ModelUpstream upstream) {
+  private void announcePeriodically(ModelUpstream upstream) {
     if (upstream.up) {
       upstream.sequence++;
-      var notice = upstream.notice();
+      var notice = upstream.announcement();
       for (ModelEntryHost host : hosts.values()) {
         if (connected(upstream.domain, host.domain)) {
-          host.deliver(5 + random.nextLong(100), () -> host.announced(notice));
+          host.deliver(5 + random.nextLong(100), () -> host.receiveAnnouncement(notice));
         }
       }
     }
-    after(1_500, () -> announceAgain(upstream));
+    schedule(1_500, () -> announcePeriodically(upstream));
   }
 
-  private static String name(ModelUpstream upstream) {
+  private static String idOf(ModelUpstream upstream) {
     return upstream == null ? "none" : upstream.id;
   }
 
   /** How finely time is told against what happens in it. */
   enum Network {
     /** Each message takes a millisecond or more, and each event is handled by itself. */
-    SPACED,
+    DISTINCT_TIMES,
     /**
      * Messages within a domain may arrive in the millisecond in which they were sent, what happens
      * in one millisecond happens in any order, and a host handles what has gathered as one batch.
      */
-    TIED,
+    SIMULTANEOUS,
     /** Work waits at a host that is behind, and control messages overtake it. */
     LAGGING
   }
@@ -383,37 +393,38 @@
     boolean lossy;
 
     long generation;
-    final Map<ModelEntryHost, Stream> streams = new HashMap<>();
+    final Map<ModelEntryHost, MessageChannel> channels = new HashMap<>();
 
-    Stream streamTo(ModelEntryHost receiver) {
-      return streams.computeIfAbsent(receiver, host -> new Stream());
+    MessageChannel channelTo(ModelEntryHost receiver) {
+      return channels.computeIfAbsent(receiver, host -> new MessageChannel());
     }
   }
 
   /** One direction of a connection: messages that haven't arrived, in the order of sending. */
-  static final class Stream {
+  static final class MessageChannel {
 
-    private final Deque<Runnable> underWay = new ArrayDeque<>();
+    private final Deque<Runnable> inTransit = new ArrayDeque<>();
     private long lastArrivesAt;
 
     /** Sends a message; returns when it arrives, not before those sent earlier. */
     long send(Runnable message, long earliestAt) {
-      underWay.add(message);
+      inTransit.add(message);
       lastArrivesAt = Math.max(lastArrivesAt, earliestAt);
       return lastArrivesAt;
     }
 
     /** Returns the message under way that was sent first. */
     Runnable receive() {
-      return underWay.remove();
+      return inTransit.remove();
     }
   }
 
-  private record Timed(long at, long order, Runnable action) implements Comparable<Timed> {
+  private record ScheduledAction(long at, long sequence, Runnable action)
+      implements Comparable<ScheduledAction> {
 
     @Override
-    public int compareTo(Timed other) {
-      return at != other.at ? Long.compare(at, other.at) : Long.compare(order, other.order);
+    public int compareTo(ScheduledAction other) {
+      return at != other.at ? Long.compare(at, other.at) : Long.compare(sequence, other.sequence);
     }
   }
 }
--- a/burdockbay-core/src/test/java/org/burdockbay/core/lease/ModelEntryHost.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/lease/ModelEntryHost.java
@@ -6,15 +6,15 @@
 import java.util.Map;
 import java.util.OptionalLong;
 import java.util.function.LongConsumer;
-import org.burdockbay.core.fleet.UpstreamNotice;
+import org.burdockbay.core.fleet.UpstreamAnnouncement;
 import org.burdockbay.core.intake.IntakeEffect;
 import org.burdockbay.core.intake.IntakeEvent;
 import org.burdockbay.core.intake.WorkIntake;
-import org.burdockbay.core.membership.HostCard;
+import org.burdockbay.core.membership.HostDescriptor;
 import org.burdockbay.core.membership.HostStatus;
 import org.burdockbay.core.membership.Membership;
 import org.burdockbay.core.membership.MembershipEffect;
-import org.burdockbay.core.membership.MembershipTerms;
+import org.burdockbay.core.membership.MembershipOptions;
 import org.burdockbay.core.membership.RouteView;
 import org.burdockbay.core.shard.ShardId;
 import org.burdockbay.core.work.WorkRequest;
@@ -23,11 +23,11 @@
 final class ModelEntryHost {
 
   private static final String GROUP = "entry";
-  private static final long LOST_MILLIS = 450;
-  private static final long HEARTBEAT_MILLIS = 150;
-  private static final long TICK_MILLIS = 25;
+  private static final long SILENCE_TIMEOUT_MILLIS = 450;
+  private static final long HEARTBEAT_INTERVAL_MILLIS = 150;
+  private static final long TICK_INTERVAL_MILLIS = 25;
   private static final long MICROS_PER_MILLI = 1_000;
-  private static final long MOST_LAG_MILLIS = 1_000;
+  private static final long MAX_LAG_MILLIS = 1_000;
 
   final String name;
   final String domain;
@@ -35,31 +35,31 @@
   private final Map<Long, WorkRequest> callers = new HashMap<>();
   private final Map<String, Long> incarnations = new HashMap<>();
   private final Map<String, Long> restartSeenAt = new HashMap<>();
-  private final List<Runnable> held = new ArrayList<>();
+  private final List<Runnable> heldActions = new ArrayList<>();
   private final List<Runnable> inbox = new ArrayList<>();
   boolean up;
-  boolean frozen;
+  boolean paused;
 
   /** By how much its time of day is ahead when its process starts, in milliseconds. */
-  long aheadAtStart;
+  long clockAheadAtStartMillis;
 
   /** Whether it has a disk, from which the process recalls the highest epoch. */
-  boolean keepsEpoch;
+  boolean persistsEpoch;
 
   long savedEpoch;
-  private long aheadMillis;
-  private long life;
+  private long clockAheadMillis;
+  private long generation;
   private long incarnation;
   private long lastTicket;
-  private long suspendedMillis;
-  private long frozenAt;
-  private boolean clockStops;
-  private boolean placing;
+  private long clockPausedMillis;
+  private long pausedAt;
+  private boolean pausesClock;
+  private boolean handlingBatch;
 
   /** Until when the processor is busy with what has arrived, in microseconds. */
   private long busyUntilMicros;
 
-  private long workUntil;
+  private long workBusyUntil;
   private Membership membership;
   private WorkIntake intake;
   private LeaseDispatcher dispatcher;
@@ -72,35 +72,37 @@
 
   void start() {
     up = true;
-    frozen = false;
-    life++;
-    aheadMillis = aheadAtStart;
+    paused = false;
+    generation++;
+    clockAheadMillis = clockAheadAtStartMillis;
     incarnation = clock();
-    placing = false;
+    handlingBatch = false;
     inbox.clear();
-    workUntil = 0;
+    workBusyUntil = 0;
     restartSeenAt.clear();
     membership =
-        Membership.growing(
-            new HostCard(name, GROUP, domain, ""),
-            MembershipTerms.ofAddress(name, LOST_MILLIS, true),
+        Membership.withDiscovery(
+            new HostDescriptor(name, GROUP, domain, ""),
+            MembershipOptions.ofAddress(name, SILENCE_TIMEOUT_MILLIS, true),
             clock());
-    model.hosts.keySet().forEach(host -> membership.admit(host, GROUP, clock()));
-    membership.recall(savedEpoch);
-    intake = new WorkIntake(name, domain, LOST_MILLIS + LeaseTerms.DEFAULT.longestMillis());
-    dispatcher = new LeaseDispatcher(name, LeaseTerms.DEFAULT);
+    model.hosts.keySet().forEach(host -> membership.addHost(host, GROUP, clock()));
+    membership.restore(savedEpoch);
+    intake =
+        new WorkIntake(name, domain, SILENCE_TIMEOUT_MILLIS + LeaseTiming.DEFAULT.maxLeaseMillis());
+    dispatcher = new LeaseDispatcher(name, LeaseTiming.DEFAULT);
     incarnations.clear();
-    long started = life;
-    model.after(model.random().nextLong(TICK_MILLIS), () -> tick(started));
-    model.after(model.random().nextLong(HEARTBEAT_MILLIS), () -> beat(started));
+    long started = generation;
+    model.schedule(model.random().nextLong(TICK_INTERVAL_MILLIS), () -> tickPeriodically(started));
+    model.schedule(
+        model.random().nextLong(HEARTBEAT_INTERVAL_MILLIS), () -> heartbeatPeriodically(started));
   }
 
   /** Ends the process; its callers see their connections break. */
   void kill() {
     up = false;
-    life++;
-    held.clear();
-    callers.values().forEach(model::brokenConnection);
+    generation++;
+    heldActions.clear();
+    callers.values().forEach(model::resubmitLater);
     callers.clear();
   }
 
@@ -109,51 +111,51 @@
    *
    * @param clockToo whether its clock doesn't count that time either, as in a suspended machine
    */
-  void freeze(boolean clockToo) {
-    if (up && !frozen) {
-      frozen = true;
-      clockStops = clockToo;
-      frozenAt = model.now();
+  void pause(boolean clockToo) {
+    if (up && !paused) {
+      paused = true;
+      pausesClock = clockToo;
+      pausedAt = model.now();
     }
   }
 
-  void thaw() {
-    if (!frozen) {
+  void resume() {
+    if (!paused) {
       return;
     }
-    frozen = false;
-    if (clockStops) {
-      suspendedMillis += model.now() - frozenAt;
+    paused = false;
+    if (pausesClock) {
+      clockPausedMillis += model.now() - pausedAt;
     }
-    List<Runnable> waiting = List.copyOf(held);
-    held.clear();
+    List<Runnable> waiting = List.copyOf(heldActions);
+    heldActions.clear();
     waiting.forEach(Runnable::run);
   }
 
   void recover() {
-    thaw();
+    resume();
     if (!up) {
       start();
     }
   }
 
-  int waiting() {
+  int waitingCallers() {
     return callers.size();
   }
 
-  boolean dispatches() {
-    return up && dispatcher.dispatches();
+  boolean isDispatching() {
+    return up && dispatcher.isDispatching();
   }
 
   /** A planned stop: the role is handed over, and what waits here is answered first. */
   void drain() {
-    run(membership.drain(clock()));
+    applyMembershipEffects(membership.drain(clock()));
   }
 
   void submit(WorkRequest request) {
     model.trace(name, "submitted " + request.id() + " up=" + up);
     if (!up) {
-      model.brokenConnection(request);
+      model.resubmitLater(request);
       return;
     }
     deliverWork(
@@ -161,19 +163,19 @@
         arrivedAt -> {
           lastTicket++;
           callers.put(lastTicket, request);
-          intake(new IntakeEvent.Opened(lastTicket, request));
+          handleIntake(new IntakeEvent.RequestReceived(lastTicket, request));
         });
   }
 
-  void announced(UpstreamNotice notice) {
+  void receiveAnnouncement(UpstreamAnnouncement notice) {
     dispatch(new LeaseEvent.Announced(notice));
-    run(membership.suits(model.layout(), clock()));
+    applyMembershipEffects(membership.growLayout(model.layout(), clock()));
   }
 
   /** Runs an action in this life of the process, once it isn't frozen. */
   void deliver(long delay, Runnable action) {
-    long meant = life;
-    model.after(delay, () -> arrive(meant, action));
+    long meant = generation;
+    model.schedule(delay, () -> receive(meant, action));
   }
 
   /** Runs a task of the work, which waits while the host is behind; it gets the arrival time. */
@@ -184,110 +186,110 @@
   /** Runs a task of the work that has arrived behind the work that waits. */
   private void queueWork(LongConsumer action) {
     long arrivedAt = clock();
-    if (!model.lags()) {
+    if (!model.delaysWork()) {
       action.accept(arrivedAt);
       return;
     }
-    workUntil = Math.max(workUntil, model.now()) + model.handlingMillis();
-    workUntil = Math.min(workUntil, model.now() + MOST_LAG_MILLIS);
-    deliver(workUntil - model.now(), () -> action.accept(arrivedAt));
+    workBusyUntil = Math.max(workBusyUntil, model.now()) + model.randomHandlingMillis();
+    workBusyUntil = Math.min(workBusyUntil, model.now() + MAX_LAG_MILLIS);
+    deliver(workBusyUntil - model.now(), () -> action.accept(arrivedAt));
   }
 
-  private void arrive(long meant, Runnable action) {
-    if (!up || meant != life) {
+  private void receive(long meant, Runnable action) {
+    if (!up || meant != generation) {
       return;
     }
-    if (frozen) {
-      held.add(() -> arrive(meant, action));
+    if (paused) {
+      heldActions.add(() -> receive(meant, action));
     } else if (model.eventMicros > 0) {
-      takeTurn(model.eventMicros, action);
-    } else if (model.batches()) {
-      gather(action);
+      runOnProcessor(model.eventMicros, action);
+    } else if (model.batchesEvents()) {
+      addToBatch(action);
     } else {
       action.run();
     }
   }
 
   /** Does what is due, behind what has arrived before if the processor is limited. */
-  private void inTurn(Runnable action) {
+  private void runInOrder(Runnable action) {
     if (model.eventMicros > 0) {
-      takeTurn(0, action);
+      runOnProcessor(0, action);
     } else {
       action.run();
     }
   }
 
   /** Handles an event once the processor is done with all that arrived before. */
-  private void takeTurn(long micros, Runnable action) {
-    long meant = life;
+  private void runOnProcessor(long micros, Runnable action) {
+    long meant = generation;
     long nowMicros = model.now() * MICROS_PER_MILLI;
     busyUntilMicros = Math.max(busyUntilMicros, nowMicros) + micros;
-    model.after(
+    model.schedule(
         (busyUntilMicros - nowMicros) / MICROS_PER_MILLI,
         () -> {
-          if (up && meant == life) {
+          if (up && meant == generation) {
             action.run();
           }
         });
   }
 
   /** Handles what arrives while the control thread is busy as one batch. */
-  private void gather(Runnable action) {
+  private void addToBatch(Runnable action) {
     inbox.add(action);
     if (inbox.size() == 1) {
-      long meant = life;
-      model.after(model.busyMillis(), () -> handleInbox(meant));
+      long meant = generation;
+      model.schedule(model.randomBusyMillis(), () -> handleBatch(meant));
     }
   }
 
-  private void handleInbox(long meant) {
-    if (!up || meant != life) {
+  private void handleBatch(long meant) {
+    if (!up || meant != generation) {
       return;
     }
-    if (frozen) {
-      held.add(() -> handleInbox(meant));
+    if (paused) {
+      heldActions.add(() -> handleBatch(meant));
       return;
     }
     List<Runnable> batch = List.copyOf(inbox);
     inbox.clear();
-    placing = true;
+    handlingBatch = true;
     batch.forEach(Runnable::run);
-    placing = false;
-    carryOut(dispatcher.place(clock()));
+    handlingBatch = false;
+    applyEffects(dispatcher.place(clock()));
   }
 
   private long clock() {
-    return model.now() + aheadMillis - suspendedMillis;
+    return model.now() + clockAheadMillis - clockPausedMillis;
   }
 
-  private void tick(long meant) {
-    if (!up || meant != life) {
+  private void tickPeriodically(long meant) {
+    if (!up || meant != generation) {
       return;
     }
-    if (!frozen) {
-      inTurn(this::timePasses);
+    if (!paused) {
+      runInOrder(this::handleTick);
     }
-    model.after(TICK_MILLIS, () -> tick(meant));
+    model.schedule(TICK_INTERVAL_MILLIS, () -> tickPeriodically(meant));
   }
 
-  private void timePasses() {
-    run(membership.tick(clock()));
-    savedEpoch = keepsEpoch ? membership.highestEpoch() : 0;
+  private void handleTick() {
+    applyMembershipEffects(membership.tick(clock()));
+    savedEpoch = persistsEpoch ? membership.highestEpoch() : 0;
     dispatch(new LeaseEvent.Tick());
-    intake(new IntakeEvent.Tick());
+    handleIntake(new IntakeEvent.Tick());
   }
 
-  private void beat(long meant) {
-    if (!up || meant != life) {
+  private void heartbeatPeriodically(long meant) {
+    if (!up || meant != generation) {
       return;
     }
-    if (!frozen) {
-      inTurn(this::heartbeat);
+    if (!paused) {
+      runInOrder(this::sendHeartbeats);
     }
-    model.after(HEARTBEAT_MILLIS, () -> beat(meant));
+    model.schedule(HEARTBEAT_INTERVAL_MILLIS, () -> heartbeatPeriodically(meant));
   }
 
-  private void heartbeat() {
+  private void sendHeartbeats() {
     HostStatus status =
         new HostStatus(
             name,
@@ -297,53 +299,53 @@
             1,
             membership.claimedEpoch(),
             membership.highestEpoch(),
-            membership.draining(),
+            membership.isDraining(),
             "",
             dispatcher.load(),
             domain,
             membership.layout(),
             membership.claimedShard().orElse(ShardId.WHOLE_FLEET));
-    intake(new IntakeEvent.LoadTold(name, status.load()));
+    handleIntake(new IntakeEvent.LoadReported(name, status.load()));
     for (ModelEntryHost other : model.hosts.values()) {
       if (other != this) {
-        send(other, () -> other.heard(status));
+        send(other, () -> other.receiveStatus(status));
       }
     }
   }
 
   /** The connection to another host is new. */
-  void reset(ModelEntryHost other) {
+  void handleReconnect(ModelEntryHost other) {
     deliver(
         0,
         () -> {
-          heartbeat();
-          intake(new IntakeEvent.PeerReset(other.name));
+          sendHeartbeats();
+          handleIntake(new IntakeEvent.PeerReconnected(other.name));
         });
   }
 
   /** The connection of a caller that waits here breaks; it asks again elsewhere. */
-  void loseCaller() {
-    if (!up || frozen || callers.isEmpty()) {
+  void breakCallerConnection() {
+    if (!up || paused || callers.isEmpty()) {
       return;
     }
     List<Long> tickets = List.copyOf(callers.keySet());
-    long ticket = tickets.get(model.faults().nextInt(tickets.size()));
+    long ticket = tickets.get(model.faultRandom().nextInt(tickets.size()));
     WorkRequest request = callers.remove(ticket);
     model.trace(name, "lost the caller of " + request.id());
-    model.brokenConnection(request);
-    deliver(0, () -> intake(new IntakeEvent.Left(ticket)));
+    model.resubmitLater(request);
+    deliver(0, () -> handleIntake(new IntakeEvent.CallerDisconnected(ticket)));
   }
 
-  private void heard(HostStatus status) {
+  private void receiveStatus(HostStatus status) {
     Long before = incarnations.put(status.host(), status.incarnation());
     if (before != null && before < status.incarnation()) {
       restartSeenAt.put(status.host(), clock());
-      dispatch(new LeaseEvent.EntryLost(status.host()));
+      dispatch(new LeaseEvent.EntryHostLost(status.host()));
     }
-    run(membership.heartbeat(status, clock()));
-    dispatch(new LeaseEvent.EntryHeard(status.host()));
-    intake(new IntakeEvent.DispatcherHeard(status.host()));
-    intake(new IntakeEvent.LoadTold(status.host(), status.load()));
+    applyMembershipEffects(membership.heartbeat(status, clock()));
+    dispatch(new LeaseEvent.EntryHostMessageReceived(status.host()));
+    handleIntake(new IntakeEvent.DispatcherMessageReceived(status.host()));
+    handleIntake(new IntakeEvent.LoadReported(status.host(), status.load()));
   }
 
   private void send(ModelEntryHost other, Runnable action) {
@@ -355,26 +357,26 @@
     if (!model.connected(domain, other.domain)) {
       link.lossy = true;
     } else {
-      model.renewIfLossy(link, this, other);
+      model.reconnectIfLossy(link, this, other);
       if (!link.down) {
-        other.deliverOver(link, model.oneWayMillis(domain, other.domain), action);
+        other.deliverOver(link, model.randomLatencyMillis(domain, other.domain), action);
       }
     }
   }
 
   /** Runs an action unless the connection that brings it is reset meanwhile. */
   private void deliverOver(LeaseModel.Link link, long delay, Runnable action) {
-    long meant = life;
+    long meant = generation;
     long sentOver = link.generation;
-    LeaseModel.Stream stream = link.streamTo(this);
-    boolean inOrder = model.ordered;
+    LeaseModel.MessageChannel stream = link.channelTo(this);
+    boolean inOrder = model.orderedDelivery;
     long earliestAt = model.now() + delay;
     long arrivesAt = inOrder ? stream.send(action, earliestAt) : earliestAt;
-    model.after(
+    model.schedule(
         arrivesAt - model.now(),
         () -> {
           if (link.generation == sentOver) {
-            arrive(meant, inOrder ? stream.receive() : action);
+            receive(meant, inOrder ? stream.receive() : action);
           }
         });
   }
@@ -382,27 +384,27 @@
   private void sendWork(ModelEntryHost other, LongConsumer action) {
     if (other == this) {
       deliverWork(0, action);
-    } else if (model.ordered) {
+    } else if (model.orderedDelivery) {
       send(other, () -> other.queueWork(action));
     } else if (model.connected(domain, other.domain)) {
-      other.deliverWork(model.oneWayMillis(domain, other.domain), action);
+      other.deliverWork(model.randomLatencyMillis(domain, other.domain), action);
     }
   }
 
-  private void run(List<MembershipEffect> effects) {
+  private void applyMembershipEffects(List<MembershipEffect> effects) {
     for (MembershipEffect effect : effects) {
       switch (effect) {
         case MembershipEffect.Claim claim -> {
-          scope(claim.shard(), membership.routes());
+          changeScope(claim.shard(), membership.routes());
           dispatch(new LeaseEvent.RoleGained(claim.epoch()));
-          heartbeat();
+          sendHeartbeats();
         }
         case MembershipEffect.Yield yield -> {
           dispatch(new LeaseEvent.RoleLost());
-          heartbeat();
+          sendHeartbeats();
         }
-        case MembershipEffect.Routes routes -> routed(routes.view());
-        case MembershipEffect.LayoutChanged changed -> heartbeat();
+        case MembershipEffect.RoutesChanged routes -> applyRoutes(routes.view());
+        case MembershipEffect.LayoutChanged changed -> sendHeartbeats();
         case MembershipEffect.HostLost lost -> {
           // The dispatcher finds out by itself.
         }
@@ -413,21 +415,21 @@
     }
   }
 
-  private void routed(RouteView view) {
-    membership.claimedShard().ifPresent(own -> scope(own, view));
+  private void applyRoutes(RouteView view) {
+    membership.claimedShard().ifPresent(own -> changeScope(own, view));
     Map<ShardId, IntakeEvent.Dispatcher> known = new HashMap<>();
     view.shards()
         .forEach(
             (shard, found) ->
                 known.put(shard, new IntakeEvent.Dispatcher(found.host(), found.epoch())));
-    intake(new IntakeEvent.DispatchersChanged(known));
+    handleIntake(new IntakeEvent.DispatchersChanged(known));
   }
 
-  private void scope(ShardId own, RouteView view) {
-    dispatch(new LeaseEvent.ScopeChanged(own, view.liveShards()));
+  private void changeScope(ShardId own, RouteView view) {
+    dispatch(new LeaseEvent.ShardsChanged(own, view.liveShards()));
   }
 
-  private void intake(IntakeEvent event) {
+  private void handleIntake(IntakeEvent event) {
     if (event instanceof IntakeEvent.DispatchersChanged changed) {
       model.trace(name, "dispatchers=" + changed.dispatchers());
     }
@@ -438,21 +440,21 @@
           sendWork(
               target,
               arrivedAt ->
-                  target.submitted(
+                  target.dispatchSubmission(
                       new LeaseEvent.Submitted(
                           name,
                           submit.to().token(),
                           submit.ticket(),
                           submit.request(),
                           submit.ageMillis(),
-                          submit.quietMillis()),
+                          submit.quietPeriodMillis()),
                       arrivedAt));
         }
         case IntakeEffect.Cancel cancel -> {
           ModelEntryHost target = model.hosts.get(cancel.to().host());
           LeaseEvent cancelled =
               new LeaseEvent.Cancelled(name, cancel.to().token(), cancel.workId());
-          if (model.ordered && target != this) {
+          if (model.orderedDelivery && target != this) {
             send(target, () -> target.dispatch(cancelled));
           }
           sendWork(target, arrivedAt -> target.dispatch(cancelled, arrivedAt));
@@ -460,15 +462,15 @@
         case IntakeEffect.Answer answer -> {
           WorkRequest request = callers.remove(answer.ticket());
           if (request != null) {
-            model.answered(request, answer.outcome());
+            model.recordAnswer(request, answer.outcome());
           }
         }
-        case IntakeEffect.Note note -> model.trace(name, note.event() + " " + note.fields());
+        case IntakeEffect.LogEvent note -> model.trace(name, note.event() + " " + note.fields());
       }
     }
   }
 
-  private void submitted(LeaseEvent.Submitted event, long arrivedAt) {
+  private void dispatchSubmission(LeaseEvent.Submitted event, long arrivedAt) {
     if (arrivedAt > restartSeenAt.getOrDefault(event.entryHost(), Long.MIN_VALUE)) {
       dispatch(event, arrivedAt);
     }
@@ -479,17 +481,17 @@
   }
 
   private void dispatch(LeaseEvent event, long arrivedAt) {
-    carryOut(dispatcher.handle(event, arrivedAt, clock()));
-    if (!placing) {
-      carryOut(dispatcher.place(clock()));
+    applyEffects(dispatcher.handle(event, arrivedAt, clock()));
+    if (!handlingBatch) {
+      applyEffects(dispatcher.place(clock()));
     }
   }
 
-  private void carryOut(List<LeaseEffect> effects) {
+  private void applyEffects(List<LeaseEffect> effects) {
     for (LeaseEffect effect : effects) {
       switch (effect) {
         case LeaseEffect.Start start ->
-            call(
+            callUpstream(
                 start.upstream(),
                 0,
                 upstream -> {
@@ -500,7 +502,7 @@
                 new LeaseEvent.StartAnswered(
                     start.upstream(), start.run(), OrderResult.NO_ANSWER, OptionalLong.empty()));
         case LeaseEffect.Stop stop ->
-            call(
+            callUpstream(
                 stop.upstream(),
                 0,
                 upstream -> {
@@ -516,17 +518,19 @@
           send(
               target,
               () ->
-                  target.intake(new IntakeEvent.Reported(name, report.workId(), report.outcome())));
+                  target.handleIntake(
+                      new IntakeEvent.OutcomeReported(name, report.workId(), report.outcome())));
         }
-        case LeaseEffect.Outranked outranked ->
+        case LeaseEffect.Superseded outranked ->
             deliver(
                 0,
                 () ->
-                    run(
-                        membership.outranked(
-                            outranked.token(), outranked.obeyedBefore(), clock())));
-        case LeaseEffect.Stalled stalled -> deliver(0, () -> run(membership.startOver(clock())));
-        case LeaseEffect.Note note -> model.trace(name, note.event() + " " + note.fields());
+                    applyMembershipEffects(
+                        membership.handleSupersededClaim(
+                            outranked.token(), outranked.acceptedBefore(), clock())));
+        case LeaseEffect.RoleReleased stalled ->
+            deliver(0, () -> applyMembershipEffects(membership.reset(clock())));
+        case LeaseEffect.LogEvent note -> model.trace(name, note.event() + " " + note.fields());
       }
     }
   }
@@ -537,18 +541,18 @@
         : OptionalLong.of(upstream.clock());
   }
 
-  private void call(
-      UpstreamNotice notice,
+  private void callUpstream(
+      UpstreamAnnouncement notice,
       long waitMillis,
       java.util.function.Function<ModelUpstream, LeaseEvent> order,
       LeaseEvent unanswered) {
     ModelUpstream upstream = upstream(notice);
-    Call call = new Call(unanswered, waitMillis + LeaseTerms.DEFAULT.answerMillis());
+    Call call = new Call(unanswered, waitMillis + LeaseTiming.DEFAULT.answerTimeoutMillis());
     if (!model.connected(domain, upstream.domain)) {
       return;
     }
-    if (model.random().nextDouble() < model.heldUp) {
-      model.after(
+    if (model.random().nextDouble() < model.delayedCallShare) {
+      model.schedule(
           2_000 + model.random().nextLong(10_000),
           () -> {
             if (upstream.up) {
@@ -558,8 +562,8 @@
           });
       return;
     }
-    model.after(
-        model.oneWayMillis(domain, upstream.domain),
+    model.schedule(
+        model.randomLatencyMillis(domain, upstream.domain),
         () -> {
           if (upstream.up) {
             LeaseEvent answer = order.apply(upstream);
@@ -574,15 +578,16 @@
         new Call(
             new LeaseEvent.RenewalAnswered(
                 renew.upstream(),
-                renew.renewal(),
+                renew.renewalNumber(),
                 OrderResult.NO_ANSWER,
                 OptionalLong.empty(),
                 List.of(),
                 List.of()),
-            renew.waitMillis() + renew.answerMillis());
-    if (model.connected(domain, upstream.domain) && model.random().nextDouble() >= model.heldUp) {
-      model.after(
-          model.oneWayMillis(domain, upstream.domain),
+            renew.waitMillis() + renew.answerTimeoutMillis());
+    if (model.connected(domain, upstream.domain)
+        && model.random().nextDouble() >= model.delayedCallShare) {
+      model.schedule(
+          model.randomLatencyMillis(domain, upstream.domain),
           () -> {
             if (upstream.up) {
               upstream.renew(renew, answer -> call.answer(answer, upstream));
@@ -591,7 +596,7 @@
     }
   }
 
-  private ModelUpstream upstream(UpstreamNotice notice) {
+  private ModelUpstream upstream(UpstreamAnnouncement notice) {
     return model.upstreams.stream()
         .filter(each -> each.id.equals(notice.id()))
         .findFirst()
@@ -601,23 +606,24 @@
   /** A call to an upstream: answered once, by the upstream or by the timeout. */
   private final class Call {
 
-    private boolean done;
+    private boolean finished;
 
     Call(LeaseEvent unanswered, long timeoutMillis) {
       deliverWork(timeoutMillis, arrivedAt -> finish(unanswered, arrivedAt));
     }
 
     void answer(LeaseEvent answer, ModelUpstream upstream) {
-      boolean lost = model.random().nextDouble() < model.answerLost;
+      boolean lost = model.random().nextDouble() < model.lostAnswerShare;
       if (!lost && model.connected(domain, upstream.domain)) {
         deliverWork(
-            model.oneWayMillis(upstream.domain, domain), arrivedAt -> finish(answer, arrivedAt));
+            model.randomLatencyMillis(upstream.domain, domain),
+            arrivedAt -> finish(answer, arrivedAt));
       }
     }
 
     private void finish(LeaseEvent event, long arrivedAt) {
-      if (!done) {
-        done = true;
+      if (!finished) {
+        finished = true;
         dispatch(event, arrivedAt);
       }
     }
--- a/burdockbay-core/src/test/java/org/burdockbay/core/lease/ModelUpstream.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/lease/ModelUpstream.java
@@ -8,7 +8,7 @@
 import java.util.OptionalLong;
 import java.util.Set;
 import java.util.function.Consumer;
-import org.burdockbay.core.fleet.UpstreamNotice;
+import org.burdockbay.core.fleet.UpstreamAnnouncement;
 import org.burdockbay.core.work.RunId;
 import org.burdockbay.core.work.TaskId;
 import org.burdockbay.core.work.TaskSize;
@@ -18,7 +18,7 @@
 
   static final TaskSize CAPACITY = new TaskSize(32_000, 64_000, 0);
 
-  private static final long LONGEST_LEASE = 1_000;
+  private static final long MAX_LEASE_MILLIS = 1_000;
 
   final String id;
   final String domain;
@@ -27,28 +27,28 @@
   private final Map<RunId, Run> running = new LinkedHashMap<>();
   private final Map<TaskId, Long> highestEnded = new HashMap<>();
   private final List<RunEnd> ended = new ArrayList<>();
-  private final List<Poll> polls = new ArrayList<>();
+  private final List<OpenRenewal> openRenewals = new ArrayList<>();
   boolean up = true;
   boolean leaving;
-  boolean failsAll;
-  boolean hangs;
+  boolean failsAllTasks;
+  boolean hangsTasks;
   long sequence;
-  private long born;
+  private long startedAt;
   private long token;
-  private long deadline;
-  private long lastEnd;
+  private long leaseEndsAt;
+  private long lastEndNumber;
 
   ModelUpstream(LeaseModel model, String id, String domain, double clockRate) {
     this.model = model;
     this.id = id;
     this.domain = domain;
     this.clockRate = clockRate;
-    this.born = 1;
+    this.startedAt = 1;
   }
 
-  UpstreamNotice notice() {
-    return new UpstreamNotice(
-        id, born, sequence, "desk", id + ":1", domain, leaving, CAPACITY, Set.of("a"));
+  UpstreamAnnouncement announcement() {
+    return new UpstreamAnnouncement(
+        id, startedAt, sequence, "desk", id + ":1", domain, leaving, CAPACITY, Set.of("a"));
   }
 
   /** Ends the life; what runs ends with it. */
@@ -57,14 +57,14 @@
     List.copyOf(running.keySet()).forEach(run -> end(run, null));
     ended.clear();
     highestEnded.clear();
-    polls.clear();
+    openRenewals.clear();
     token = 0;
-    deadline = 0;
-    lastEnd = 0;
+    leaseEndsAt = 0;
+    lastEndNumber = 0;
   }
 
   /** Meets a token of a dispatcher that is no part of the model. */
-  void meets(long strangeToken) {
+  void observeToken(long strangeToken) {
     token = Math.max(token, strangeToken);
   }
 
@@ -78,7 +78,7 @@
     }
     up = true;
     leaving = false;
-    born = model.now();
+    startedAt = model.now();
     sequence = 0;
   }
 
@@ -87,23 +87,23 @@
   }
 
   OrderResult start(LeaseEffect.Start start) {
-    OrderResult refusal = check(start.upstream(), start.token());
+    OrderResult refusal = checkOrder(start.upstream(), start.token());
     if (refusal != null) {
       return refusal;
     }
     RunId id = start.run();
     if (running.containsKey(id)) {
-      extend(start.deadlineMillis());
+      extendLease(start.deadlineMillis());
       return OrderResult.DONE;
     }
     if (start.deadlineMillis() <= clock()) {
       return OrderResult.LATE;
     }
-    extend(start.deadlineMillis());
+    extendLease(start.deadlineMillis());
     boolean older =
         running.keySet().stream()
-            .anyMatch(run -> run.task().equals(id.task()) && run.run() >= id.run());
-    if (older || highestEnded.getOrDefault(id.task(), 0L) >= id.run()) {
+            .anyMatch(run -> run.task().equals(id.task()) && run.number() >= id.number());
+    if (older || highestEnded.getOrDefault(id.task(), 0L) >= id.number()) {
       return OrderResult.OLD;
     }
     int used = running.size() * LeaseModel.TASK_CPU;
@@ -112,57 +112,57 @@
     }
     Run run = new Run(id);
     running.put(id, run);
-    model.began(id, this);
-    if (!hangs) {
-      model.after(model.workMillis(), () -> finish(run));
+    model.recordStart(id, this);
+    if (!hangsTasks) {
+      model.schedule(model.randomRunMillis(), () -> finish(run));
     }
     return OrderResult.DONE;
   }
 
   OrderResult stop(LeaseEffect.Stop stop) {
-    OrderResult refusal = check(stop.upstream(), stop.token());
+    OrderResult refusal = checkOrder(stop.upstream(), stop.token());
     if (refusal != null) {
       return refusal;
     }
-    highestEnded.merge(stop.run().task(), stop.run().run(), Math::max);
+    highestEnded.merge(stop.run().task(), stop.run().number(), Math::max);
     Run run = running.get(stop.run());
     if (run != null) {
-      model.after(model.random().nextLong(50), () -> endIfRunning(run, RunEnd.Cause.CUT_SHORT));
+      model.schedule(model.random().nextLong(50), () -> endIfRunning(run, RunEnd.Cause.CUT_SHORT));
     }
     return OrderResult.DONE;
   }
 
   /** Answers at once, or when something ends, or when the wait is over. */
   void renew(LeaseEffect.Renew renew, Consumer<LeaseEvent.RenewalAnswered> answer) {
-    OrderResult refusal = check(renew.upstream(), renew.token());
+    OrderResult refusal = checkOrder(renew.upstream(), renew.token());
     if (refusal != null) {
-      answer.accept(answered(renew, refusal));
+      answer.accept(renewalAnswer(renew, refusal));
       return;
     }
-    extend(renew.deadlineMillis());
-    ended.removeIf(end -> end.number() <= renew.acknowledged());
-    Poll poll = new Poll(renew, answer);
+    extendLease(renew.deadlineMillis());
+    ended.removeIf(end -> end.number() <= renew.acknowledgedEnd());
+    OpenRenewal poll = new OpenRenewal(renew, answer);
     if (!ended.isEmpty() || renew.waitMillis() == 0) {
       poll.answer();
     } else {
-      polls.add(poll);
-      model.after(renew.waitMillis(), poll::answer);
+      openRenewals.add(poll);
+      model.schedule(renew.waitMillis(), poll::answer);
     }
   }
 
-  private LeaseEvent.RenewalAnswered answered(LeaseEffect.Renew renew, OrderResult result) {
+  private LeaseEvent.RenewalAnswered renewalAnswer(LeaseEffect.Renew renew, OrderResult result) {
     boolean done = result == OrderResult.DONE;
     return new LeaseEvent.RenewalAnswered(
         renew.upstream(),
-        renew.renewal(),
+        renew.renewalNumber(),
         result,
         result == OrderResult.OTHER_LIFE ? OptionalLong.empty() : OptionalLong.of(clock()),
         done ? List.copyOf(running.keySet()) : List.of(),
         done ? ended : List.of());
   }
 
-  private OrderResult check(UpstreamNotice meant, long given) {
-    if (meant.bornMillis() != born) {
+  private OrderResult checkOrder(UpstreamAnnouncement meant, long given) {
+    if (meant.startedAt() != startedAt) {
       return OrderResult.OTHER_LIFE;
     }
     if (given < token) {
@@ -172,24 +172,24 @@
     return null;
   }
 
-  private void extend(long until) {
-    long capped = Math.min(until, clock() + LONGEST_LEASE);
-    if (capped > deadline) {
-      deadline = capped;
-      long lifeNow = born;
+  private void extendLease(long until) {
+    long capped = Math.min(until, clock() + MAX_LEASE_MILLIS);
+    if (capped > leaseEndsAt) {
+      leaseEndsAt = capped;
+      long lifeNow = startedAt;
       long left = (long) Math.ceil((capped - clock()) / clockRate) + 1;
-      model.after(left, () -> lapse(lifeNow));
+      model.schedule(left, () -> expireLease(lifeNow));
     }
   }
 
-  private void lapse(long life) {
-    if (up && life == born && clock() >= deadline) {
+  private void expireLease(long life) {
+    if (up && life == startedAt && clock() >= leaseEndsAt) {
       List.copyOf(running.keySet()).forEach(run -> end(run, RunEnd.Cause.CUT_SHORT));
     }
   }
 
   private void finish(Run run) {
-    endIfRunning(run, failsAll ? RunEnd.Cause.FAILED : RunEnd.Cause.DONE);
+    endIfRunning(run, failsAllTasks ? RunEnd.Cause.FAILED : RunEnd.Cause.DONE);
   }
 
   private void endIfRunning(Run run, RunEnd.Cause cause) {
@@ -200,14 +200,14 @@
 
   private void end(RunId id, RunEnd.Cause cause) {
     running.remove(id);
-    highestEnded.merge(id.task(), id.run(), Math::max);
-    model.ended(id, this, cause);
+    highestEnded.merge(id.task(), id.number(), Math::max);
+    model.recordEnd(id, this, cause);
     if (cause != null) {
-      lastEnd++;
-      ended.add(new RunEnd(lastEnd, id, cause));
-      List<Poll> waiting = List.copyOf(polls);
-      polls.clear();
-      waiting.forEach(Poll::answer);
+      lastEndNumber++;
+      ended.add(new RunEnd(lastEndNumber, id, cause));
+      List<OpenRenewal> waiting = List.copyOf(openRenewals);
+      openRenewals.clear();
+      waiting.forEach(OpenRenewal::answer);
     }
   }
 
@@ -220,23 +220,23 @@
     }
   }
 
-  private final class Poll {
+  private final class OpenRenewal {
 
     private final LeaseEffect.Renew renew;
     private final Consumer<LeaseEvent.RenewalAnswered> answer;
-    private final long life = born;
+    private final long upstreamStartedAt = startedAt;
     private boolean answered;
 
-    Poll(LeaseEffect.Renew renew, Consumer<LeaseEvent.RenewalAnswered> answer) {
+    OpenRenewal(LeaseEffect.Renew renew, Consumer<LeaseEvent.RenewalAnswered> answer) {
       this.renew = renew;
       this.answer = answer;
     }
 
     void answer() {
-      if (!answered && up && life == born) {
+      if (!answered && up && upstreamStartedAt == startedAt) {
         answered = true;
-        polls.remove(this);
-        answer.accept(answered(renew, OrderResult.DONE));
+        openRenewals.remove(this);
+        answer.accept(renewalAnswer(renew, OrderResult.DONE));
       }
     }
   }
--- a/burdockbay-core/src/test/java/org/burdockbay/core/lease/TotalRestartTest.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/lease/TotalRestartTest.java
@@ -10,13 +10,13 @@
 /** What callers get after all hosts were killed at once, while the upstreams went on. */
 public class TotalRestartTest {
 
-  private static final long DOWN_MILLIS = 1_200;
-  private static final long BEGINS_AT_MILLIS = 1_796_256_000_000L;
+  private static final long DOWNTIME_MILLIS = 1_200;
+  private static final long START_TIME_MILLIS = 1_796_256_000_000L;
   private static final int TOKEN_BITS = 24;
-  private static final long LATE_MILLIS = 4_000;
+  private static final long LATE_RESTART_DELAY_MILLIS = 4_000;
   private static final int SEEDS = 3;
-  private static final long GAP_MILLIS = 300;
-  private static final int LAST_CALLERS = 6;
+  private static final long SUBMISSION_INTERVAL_MILLIS = 300;
+  private static final int CHECKED_CALLERS = 6;
 
   /** Returns by how many rounds the upstreams' token is ahead of all that the hosts know. */
   @DataProvider
@@ -29,14 +29,14 @@
    * token: no disk tells the highest one, and the time of day is behind it.
    */
   @Test(dataProvider = "roundsAhead")
-  public void servesInTimeThoughNobodyKnowsTheHighestToken(int rounds) {
+  public void recoversInTimeWithUnknownHighestToken(int rounds) {
     for (long seed = 1; seed <= SEEDS; seed++) {
       LeaseModel model = model(seed);
-      restart(
+      restartAllHosts(
           model,
           () -> {
             long strange = highestToken(model) + ((long) rounds << TOKEN_BITS);
-            model.upstreams.forEach(upstream -> upstream.meets(strange));
+            model.upstreams.forEach(upstream -> upstream.observeToken(strange));
           });
       checkServed(model, "seed " + seed + ", " + rounds + " rounds ahead");
     }
@@ -44,37 +44,39 @@
 
   /** The same with a disk on one host, and clocks that were stepped back before the restart. */
   @Test
-  public void servesInTimeThoughClocksWentBack() {
+  public void recoversInTimeAfterClocksWereSetBack() {
     for (long seed = 1; seed <= SEEDS; seed++) {
       LeaseModel model = model(seed);
-      model.hosts.values().iterator().next().keepsEpoch = true;
+      model.hosts.values().iterator().next().persistsEpoch = true;
       model.advance(1_000);
       long step = -2_400 * seed;
-      restart(
+      restartAllHosts(
           model,
           () ->
               model
                   .hosts
                   .values()
-                  .forEach(host -> host.aheadAtStart = step + model.random().nextLong(2_400)));
+                  .forEach(
+                      host ->
+                          host.clockAheadAtStartMillis = step + model.random().nextLong(2_400)));
       checkServed(model, "seed " + seed);
     }
   }
 
   /** The host whose disk tells the highest token comes back when the others have claimed. */
   @Test
-  public void servesInTimeThoughTheHostThatRemembersComesBackLast() {
+  public void recoversInTimeWhenHostWithHighestTokenRestartsLast() {
     for (long seed = 1; seed <= SEEDS; seed++) {
       LeaseModel model = model(seed);
       ModelEntryHost last = List.copyOf(model.hosts.values()).getLast();
-      restart(
+      restartAllHosts(
           model,
           () -> {
-            last.keepsEpoch = true;
+            last.persistsEpoch = true;
             last.savedEpoch = highestToken(model) + (600L << TOKEN_BITS);
-            model.upstreams.forEach(upstream -> upstream.meets(last.savedEpoch));
-            model.after(DOWN_MILLIS, last::kill);
-            model.after(DOWN_MILLIS + LATE_MILLIS, last::recover);
+            model.upstreams.forEach(upstream -> upstream.observeToken(last.savedEpoch));
+            model.schedule(DOWNTIME_MILLIS, last::kill);
+            model.schedule(DOWNTIME_MILLIS + LATE_RESTART_DELAY_MILLIS, last::recover);
           });
       checkServed(model, "seed " + seed);
     }
@@ -82,17 +84,17 @@
 
   /** Hosts that have just started stand still now and then, and the role goes round. */
   @Test
-  public void servesInTimeThoughRestartedHostsStandStill() {
+  public void recoversInTimeWhenRestartedHostsPause() {
     for (long seed = 1; seed <= SEEDS; seed++) {
       LeaseModel model = model(seed);
-      restart(model, () -> {});
+      restartAllHosts(model, () -> {});
       for (int i = 0; i < 12; i++) {
         model.hosts.values().stream()
-            .filter(ModelEntryHost::dispatches)
+            .filter(ModelEntryHost::isDispatching)
             .forEach(
                 host -> {
-                  host.freeze(false);
-                  model.after(300 + model.random().nextLong(200), host::thaw);
+                  host.pause(false);
+                  model.schedule(300 + model.random().nextLong(200), host::resume);
                 });
         submitFor(model, 600);
       }
@@ -103,7 +105,12 @@
   private static LeaseModel model(long seed) {
     LeaseModel model =
         new LeaseModel(
-            seed, LeaseModel.Network.SPACED, ShardLayout.UNDIVIDED, 2, 3, BEGINS_AT_MILLIS);
+            seed,
+            LeaseModel.Network.DISTINCT_TIMES,
+            ShardLayout.UNDIVIDED,
+            2,
+            3,
+            START_TIME_MILLIS);
     submitFor(model, 1_000);
     return model;
   }
@@ -113,27 +120,27 @@
   }
 
   /** Kills all hosts and starts them again. */
-  private static void restart(LeaseModel model, Runnable meanwhile) {
+  private static void restartAllHosts(LeaseModel model, Runnable meanwhile) {
     model.hosts.values().forEach(model::kill);
     meanwhile.run();
-    model.advance(DOWN_MILLIS);
+    model.advance(DOWNTIME_MILLIS);
     model.hosts.values().forEach(ModelEntryHost::recover);
   }
 
   /** Checks that callers who come later than the stated aim after the restart are all served. */
   private static void checkServed(LeaseModel model, String play) {
-    submitFor(model, LeaseModel.RECOVERY_MILLIS - LeaseModel.PATIENCE_MILLIS);
-    model.advance(LeaseModel.PATIENCE_MILLIS);
+    submitFor(model, LeaseModel.MAX_RECOVERY_MILLIS - LeaseModel.CALLER_TIMEOUT_MILLIS);
+    model.advance(LeaseModel.CALLER_TIMEOUT_MILLIS);
     int before = model.completed;
-    submitFor(model, LAST_CALLERS * GAP_MILLIS);
-    model.advance(LeaseModel.PATIENCE_MILLIS);
-    assertEquals(model.completed - before, LAST_CALLERS, play + ": served");
+    submitFor(model, CHECKED_CALLERS * SUBMISSION_INTERVAL_MILLIS);
+    model.advance(LeaseModel.CALLER_TIMEOUT_MILLIS);
+    assertEquals(model.completed - before, CHECKED_CALLERS, play + ": served");
   }
 
   private static void submitFor(LeaseModel model, long millis) {
-    for (long passed = 0; passed < millis; passed += GAP_MILLIS) {
+    for (long passed = 0; passed < millis; passed += SUBMISSION_INTERVAL_MILLIS) {
       model.submit(1);
-      model.advance(GAP_MILLIS);
+      model.advance(SUBMISSION_INTERVAL_MILLIS);
     }
   }
 }
--- a/burdockbay-core/src/test/java/org/burdockbay/core/ledger/LedgerTest.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/ledger/LedgerTest.java
@@ -23,7 +23,7 @@
    * second domain must learn where it runs instead of running it too.
    */
   @Test
-  public void opensKeysInOneDomainOnly() {
+  public void opensKeyInOneDomainOnly() {
     Ledger fresh = new Ledger();
     apply(fresh, "north", new LedgerRequest.Register(5));
     apply(fresh, "south", new LedgerRequest.Register(6));
@@ -38,7 +38,7 @@
    * still has the role. Nothing it asks may take effect, and its successor gets all it left open.
    */
   @Test
-  public void fencesEarlierEpochsAndHandsOverWhatTheyLeft() {
+  public void fencesEarlierEpochsAndHandsOverOpenSubmissions() {
     RunnerId runner = new RunnerId("r", 1);
     apply(ledger, "north", new LedgerRequest.Register(5));
     apply(ledger, "north", new LedgerRequest.AddRunner(5, runner));
@@ -57,7 +57,7 @@
 
   /** A caller that was told "not run" may come back with the same key. */
   @Test
-  public void freesKeysThatWereClosedAsNotRun() {
+  public void releasesKeyClosedAsNotRun() {
     Ledger fresh = new Ledger();
     apply(fresh, "north", new LedgerRequest.Register(5));
     apply(fresh, "north", open(5));
@@ -69,18 +69,18 @@
 
   /** A key is not given to other content, closed or open. */
   @Test
-  public void refusesOtherContentUnderOneKey() {
+  public void rejectsReusedKeyWithDifferentContent() {
     Ledger fresh = new Ledger();
     apply(fresh, "north", new LedgerRequest.Register(5));
     apply(fresh, "north", open(5));
     assertEquals(
         apply(fresh, "north", new LedgerRequest.Open(5, KEY, "other", 2)),
-        new LedgerReply.OtherContent());
+        new LedgerReply.ContentMismatch());
   }
 
   /** Closed records leave after the retention; open ones never do. */
   @Test
-  public void forgetsClosedRecordsAfterTheRetention() {
+  public void expiresClosedRecordsAfterRetention() {
     Ledger fresh = new Ledger();
     apply(fresh, "north", new LedgerRequest.Register(5));
     apply(fresh, "north", open(5));
@@ -96,7 +96,7 @@
 
   /** A snapshot carries everything: a restored ledger answers as the original does. */
   @Test
-  public void restoresFromAnImage() {
+  public void restoresCompleteStateFromImage() {
     Ledger fresh = new Ledger();
     apply(fresh, "north", new LedgerRequest.Register(5));
     apply(fresh, "north", new LedgerRequest.AddRunner(5, new RunnerId("r", 1)));
