--- a/burdockbay-core/src/test/java/org/burdockbay/core/membership/MembershipTest.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/membership/MembershipTest.java
@@ -22,7 +22,7 @@
 
   /** Makes the membership of host a. */
   @BeforeMethod
-  public void makeMembership() {
+  public void createMembership() {
     now = 1_000_000;
     membership = new Membership("a", DOMAINS, now);
     effects = new ArrayList<>();
@@ -33,9 +33,9 @@
    * the domain a rebuild for nothing.
    */
   @Test
-  public void leavesTheRoleWithTheOneThatHasIt() {
+  public void doesNotTakeTheRoleFromLiveDispatchers() {
     heartbeat("b", 7, 1, false);
-    passTime(5_000, () -> heartbeat("b", 7, 1, false));
+    advanceTime(5_000, () -> heartbeat("b", 7, 1, false));
     assertEquals(membership.claimedEpoch(), 0);
   }
 
@@ -45,16 +45,16 @@
    * remembers the epoch and tells it.
    */
   @Test
-  public void claimsAboveWhatHostsThatNeverDispatchRemember() {
+  public void claimsAboveEpochsReportedByNonDispatchingHosts() {
     Membership keeper =
-        Membership.growing(
-            "10.0.0.9", "control", MembershipTerms.ofAddress("10.0.0.9", 450, false), now);
-    keeper.recall(1L << 52);
+        Membership.withDiscovery(
+            "10.0.0.9", "control", MembershipOptions.ofAddress("10.0.0.9", 450, false), now);
+    keeper.restore(1L << 52);
     assertEquals(keeper.highestEpoch(), 1L << 52);
     Membership starting =
-        Membership.growing(
-            "10.0.0.1", "entry", MembershipTerms.ofAddress("10.0.0.1", 450, true), now);
-    starting.admit("10.0.0.9", "control", 0);
+        Membership.withDiscovery(
+            "10.0.0.1", "entry", MembershipOptions.ofAddress("10.0.0.1", 450, true), now);
+    starting.addHost("10.0.0.9", "control", 0);
     for (int i = 0; i < 20; i++) {
       now += 100;
       starting.heartbeat(
@@ -80,7 +80,7 @@
   public void claimsWithHigherEpochsOnceTheDispatcherIsLost() {
     long seen = 1L << 50;
     heartbeat("b", seen, 1, false);
-    now += Membership.LOST_MILLIS;
+    now += Membership.SILENCE_TIMEOUT_MILLIS;
     effects.addAll(membership.tick(now));
     assertEquals(membership.claimedEpoch(), 0);
     now += 1;
@@ -104,7 +104,7 @@
   /** A host that is stopping hands the role over as soon as there is a successor, not before. */
   @Test
   public void handsTheRoleOverOnlyToSuccessors() {
-    passTime(3_000, () -> {});
+    advanceTime(3_000, () -> {});
     assertTrue(membership.claimedEpoch() != 0);
     effects.addAll(membership.drain(now));
     assertTrue(membership.claimedEpoch() != 0, "nobody else could finish its jobs");
@@ -117,7 +117,7 @@
    * send jobs to a dispatcher that is gone.
    */
   @Test
-  public void ignoresHeartbeatsOfEarlierRuns() {
+  public void ignoresHeartbeatsOfEarlierIncarnations() {
     heartbeat("c", 0, 5, false);
     heartbeat("c", 99, 4, false);
     assertTrue(membership.routes().dispatcher("south").isEmpty());
@@ -125,19 +125,19 @@
 
   /** A host that has just started doesn't know yet which domains there are to choose from. */
   @Test
-  public void settlesOnceEveryDomainWasHeardOfOrTimeHasPassed() {
+  public void settlesOnceEveryDomainIsContactedOrTimeoutExpires() {
     heartbeat("b", 7, 1, false);
     assertFalse(membership.routes().settled());
     heartbeat("c", 8, 1, false);
     assertTrue(membership.routes().settled());
     Membership alone = new Membership("a", DOMAINS, now);
-    alone.tick(now + Membership.LOST_MILLIS + 1);
+    alone.tick(now + Membership.SILENCE_TIMEOUT_MILLIS + 1);
     assertTrue(alone.routes().settled());
   }
 
   /** A domain whose hosts all stop takes no new keys; one with a live host does. */
   @Test
-  public void opensDomainsThatHaveHostsToStay() {
+  public void opensOnlyDomainsWithNonDrainingHosts() {
     heartbeat("c", 8, 1, false);
     assertTrue(membership.routes().openDomains().contains("south"));
     heartbeat("c", 8, 1, true);
@@ -160,7 +160,7 @@
     effects.addAll(membership.heartbeat(status, now));
   }
 
-  private void passTime(long millis, Runnable each) {
+  private void advanceTime(long millis, Runnable each) {
     for (long passed = 0; passed < millis; passed += 250) {
       now += 250;
       each.run();
@@ -174,11 +174,11 @@
    * only host, claims the role with a newer epoch, and replaces a dispatcher that serves.
    */
   @Test
-  public void claimsNothingBeforeTheOthersCouldBeHeard() {
-    MembershipTerms terms = MembershipTerms.ofAddress("10.0.0.1", 450, true);
-    Membership restarted = Membership.growing("10.0.0.1", "entry", terms, 0);
-    restarted.admit("10.0.0.2", "entry", 0);
-    restarted.admit("10.0.0.3", "entry", 0);
+  public void claimsNothingBeforeOtherHostsCanBeContacted() {
+    MembershipOptions terms = MembershipOptions.ofAddress("10.0.0.1", 450, true);
+    Membership restarted = Membership.withDiscovery("10.0.0.1", "entry", terms, 0);
+    restarted.addHost("10.0.0.2", "entry", 0);
+    restarted.addHost("10.0.0.3", "entry", 0);
     assertTrue(claims(restarted.tick(1_000)).isEmpty(), "hears nobody yet");
     HostStatus quiet = idle("10.0.0.2");
     assertTrue(claims(restarted.heartbeat(quiet, 1_100)).isEmpty());
@@ -194,12 +194,12 @@
    * refused. A host that it is told of late is waited for, as it may be the one that serves.
    */
   @Test
-  public void claimsSoonOnceEveryKnownHostWasHeard() {
-    MembershipTerms terms = MembershipTerms.ofAddress("10.0.0.1", 450, true);
-    Membership restarted = Membership.growing("10.0.0.1", "entry", terms, 0);
-    restarted.admit("10.0.0.2", "entry", 50);
+  public void claimsEarlyOnceEveryKnownHostIsContacted() {
+    MembershipOptions terms = MembershipOptions.ofAddress("10.0.0.1", 450, true);
+    Membership restarted = Membership.withDiscovery("10.0.0.1", "entry", terms, 0);
+    restarted.addHost("10.0.0.2", "entry", 50);
     assertTrue(claims(restarted.heartbeat(idle("10.0.0.2"), 100)).isEmpty());
-    restarted.admit("10.0.0.3", "entry", 200);
+    restarted.addHost("10.0.0.3", "entry", 200);
     restarted.heartbeat(idle("10.0.0.2"), 400);
     assertTrue(claims(restarted.tick(460)).isEmpty(), "10.0.0.3 wasn't heard yet");
     assertTrue(claims(restarted.heartbeat(idle("10.0.0.3"), 470)).isEmpty());
--- a/burdockbay-core/src/test/java/org/burdockbay/core/shard/ShardMapTest.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/shard/ShardMapTest.java
@@ -34,7 +34,7 @@
   }
 
   @Test
-  public void keepsUpstreamsInTheirDomainAndSharesThemEvenly() {
+  public void keepsUpstreamsInTheirDomainAndBalancesShards() {
     ShardMap map = ShardMap.of(shards(ShardLayout.of(UPSTREAMS, 3)));
     Map<ShardId, Integer> owned = new HashMap<>();
     for (int i = 0; i < UPSTREAMS; i++) {
--- a/burdockbay-server/src/main/java/org/burdockbay/server/host/AgreementDriver.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/host/AgreementDriver.java
@@ -194,7 +194,7 @@
   }
 
   private void compact() {
-    if (node.compactionDue()) {
+    if (node.isCompactionDue()) {
       run(node.compact(ControlCodec.toBytes(state.image())));
     }
   }
--- a/burdockbay-server/src/main/java/org/burdockbay/server/host/DispatchDriver.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/host/DispatchDriver.java
@@ -50,7 +50,7 @@
   private void carryOut(DispatchEffect effect) {
     switch (effect) {
       case DispatchEffect.StartAttempt start -> parts.runners().start(start, listener);
-      case DispatchEffect.AskAttempt ask -> parts.runners().ask(ask, listener);
+      case DispatchEffect.QueryAttempt ask -> parts.runners().ask(ask, listener);
       case DispatchEffect.CancelAttempts cancel -> parts.runners().cancel(cancel);
       case DispatchEffect.FenceRunner fence ->
           parts.runners().fence(fence, parts.settings().domain(), listener);
@@ -65,7 +65,7 @@
           sender.send(returned.host(), new PeerMessage.ReturnJob(returned.key()));
       case DispatchEffect.ProposeLedger propose -> propose(propose.request());
       case DispatchEffect.StepDown stepDown -> outranked.accept(stepDown.higherEpoch());
-      case DispatchEffect.Note note -> {
+      case DispatchEffect.LogEvent note -> {
         parts.metrics().event(note.event());
         parts.log().info(note.event(), note.fields());
       }
@@ -75,12 +75,12 @@
   private void propose(LedgerRequest request) {
     LedgerCommand command = new LedgerCommand(parts.settings().domain(), request);
     proposals.propose(
-        new ControlCommand.ToLedger(command),
+        new ControlCommand.LedgerOperation(command),
         reply -> handle(new DispatchEvent.LedgerAnswered(request, ledgerReply(reply))));
   }
 
   private static LedgerReply ledgerReply(ControlReply reply) {
-    return reply instanceof ControlReply.FromLedger fromLedger
+    return reply instanceof ControlReply.LedgerResult fromLedger
         ? fromLedger.reply()
         : new LedgerReply.Unavailable();
   }
--- a/burdockbay-server/src/main/java/org/burdockbay/server/host/HostController.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/host/HostController.java
@@ -190,12 +190,12 @@
 
   @Override
   public void asked(AttemptId attempt, RunnerId runner, AttemptStatus status) {
-    onControl(() -> dispatch.handle(new DispatchEvent.AttemptAsked(attempt, runner, status)));
+    onControl(() -> dispatch.handle(new DispatchEvent.AttemptQueried(attempt, runner, status)));
   }
 
   @Override
   public void inventoried(RunnerId runner, long epoch, List<AttemptReport> attempts) {
-    onControl(() -> dispatch.handle(new DispatchEvent.RunnerInventoried(runner, epoch, attempts)));
+    onControl(() -> dispatch.handle(new DispatchEvent.RunnerFenced(runner, epoch, attempts)));
   }
 
   @Override
@@ -255,7 +255,7 @@
           proposals.answered(proposed.requestId(), proposed.reply());
       case PeerMessage.FetchConfiguration fetch -> {
         DispatchConfiguration current = configuration.current();
-        if (current.version() > fetch.haveVersion()) {
+        if (current.version() > fetch.knownVersion()) {
           send(host, new PeerMessage.ConfigurationText(current.version(), current.text()));
         }
       }
@@ -322,7 +322,7 @@
           dispatch.handle(new DispatchEvent.EpochLost());
           heartbeat();
         }
-        case MembershipEffect.Routes routes ->
+        case MembershipEffect.RoutesChanged routes ->
             entry.handle(new EntryEvent.RoutesChanged(routes.view()));
         case MembershipEffect.LayoutChanged changed -> {
           // Hosts of a fixed list never divide the fleet.
@@ -332,11 +332,11 @@
             parts.log().info("host-found", "found=" + found.host());
       }
     }
-    dispatcherView = new DispatcherView(membership.claimedEpoch(), membership.draining());
+    dispatcherView = new DispatcherView(membership.claimedEpoch(), membership.isDraining());
   }
 
   private void stepDown(long higherEpoch) {
-    run(membership.fenced(higherEpoch, parts.clock().millis()));
+    run(membership.handleHigherEpoch(higherEpoch, parts.clock().millis()));
   }
 
   private void configured(ControlImage.ConfigurationVersion version) {
@@ -388,12 +388,12 @@
     for (PeerSettings peer : parts.settings().peers()) {
       parts.transport().send(peer.id(), new PeerMessage.Heartbeat(status));
     }
-    dispatch.handle(new DispatchEvent.DomainLoads(otherLoads()));
+    dispatch.handle(new DispatchEvent.DomainLoadsReported(otherLoads()));
   }
 
   private Map<String, DomainLoad> otherLoads() {
     Map<String, DomainLoad> loads = new HashMap<>();
-    for (HostStatus status : membership.live()) {
+    for (HostStatus status : membership.liveHosts()) {
       boolean other = !status.domain().equals(parts.settings().domain());
       if (other && status.dispatcherEpoch() != 0 && !status.draining()) {
         loads.put(status.domain(), status.load());
@@ -411,7 +411,7 @@
         configuration.current().version(),
         membership.claimedEpoch(),
         membership.highestEpoch(),
-        membership.draining(),
+        membership.isDraining(),
         leader().orElse(""),
         dispatch.dispatcher().load());
   }
@@ -425,7 +425,7 @@
     if (own.isPresent()) {
       return own;
     }
-    return membership.live().stream()
+    return membership.liveHosts().stream()
         .filter(status -> status.leader().equals(status.host()))
         .map(HostStatus::host)
         .findFirst();
@@ -446,7 +446,7 @@
   private HostReport makeReport() {
     return new HostReport(
         status(),
-        List.copyOf(membership.live()),
+        List.copyOf(membership.liveHosts()),
         dispatch.dispatcher().snapshot(),
         agreement.map(HostReport.AgreementReport::of),
         entry.waiting(),
--- a/burdockbay-server/src/main/java/org/burdockbay/server/host/VoterKeeper.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/host/VoterKeeper.java
@@ -70,7 +70,7 @@
 
   private Optional<VoterSet> next(RaftNode node, VoterId present) {
     VoterSet members = node.voters();
-    if (members.votes(present)) {
+    if (members.isVoter(present)) {
       return Optional.empty();
     }
     Optional<VoterId> old = members.voterOn(present.host());
@@ -89,7 +89,7 @@
       return Optional.of(members.withLearner(present));
     }
     boolean needed = members.voters().size() < wanted || lostVoter(members).isPresent();
-    return needed && node.caughtUp(present)
+    return needed && node.isCaughtUp(present)
         ? Optional.of(members.withVoter(present))
         : Optional.empty();
   }
--- a/burdockbay-server/src/main/java/org/burdockbay/server/http/OperatorApi.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/http/OperatorApi.java
@@ -133,9 +133,9 @@
               "no quorum answered; send the same change id again to learn the outcome",
               RETRY_MILLIS,
               "");
-      case ControlReply.FromLedger ledger ->
+      case ControlReply.LedgerResult ledger ->
           responder.problem(context, ErrorKind.INTERNAL, "an answer of the ledger", 0, "");
-      case ControlReply.Catalog catalog ->
+      case ControlReply.CatalogContent catalog ->
           responder.problem(context, ErrorKind.INTERNAL, "an answer about the catalog", 0, "");
     }
   }
--- a/burdockbay-server/src/main/java/org/burdockbay/server/http/Responder.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/http/Responder.java
@@ -69,7 +69,7 @@
     problem.put("title", kind.code());
     problem.put("status", kind.httpStatus());
     problem.put("detail", detail);
-    problem.put("promise", kind.promise().name().toLowerCase(java.util.Locale.ROOT));
+    problem.put("promise", kind.runGuarantee().name().toLowerCase(java.util.Locale.ROOT));
     if (!submission.isEmpty()) {
       problem.put("submission", submission);
     }
--- a/burdockbay-server/src/main/java/org/burdockbay/server/metrics/HostMetrics.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/metrics/HostMetrics.java
@@ -29,7 +29,7 @@
   /** Records an answered job. */
   public void answered(String caller, String job, JobOutcome outcome, long millis) {
     registry.histogram(MetricRegistry.name(RESPONSE, caller, job)).update(millis);
-    registry.counter(MetricRegistry.name(OUTCOME, caller, outcome.word())).inc();
+    registry.counter(MetricRegistry.name(OUTCOME, caller, outcome.code())).inc();
   }
 
   /** Records answered work of a queue. */
--- a/burdockbay-server/src/main/java/org/burdockbay/server/node/CatalogKeeper.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/node/CatalogKeeper.java
@@ -8,7 +8,7 @@
 import org.burdockbay.core.catalog.CatalogException;
 import org.burdockbay.core.catalog.CatalogPart;
 import org.burdockbay.core.catalog.CatalogSource;
-import org.burdockbay.core.catalog.PackedCatalog;
+import org.burdockbay.core.catalog.CompressedCatalog;
 import org.burdockbay.core.clock.Clock;
 import org.burdockbay.server.logging.EventLog;
 
@@ -33,7 +33,7 @@
   private final Clock clock;
   private final CatalogDownload download = new CatalogDownload();
   private final CatalogSource source = new CatalogSource();
-  private volatile Catalog current = Catalog.NONE;
+  private volatile Catalog current = Catalog.EMPTY;
 
   /** Highest version submitted for decoding. */
   private long submittedVersion;
@@ -80,7 +80,7 @@
     if (newerHeardAt.isEmpty()) {
       newerHeardAt = OptionalLong.of(now);
     }
-    return download.announced(version, now);
+    return download.handleAnnouncement(version, now);
   }
 
   /**
@@ -92,7 +92,7 @@
     if (part.version() <= submittedVersion) {
       return Optional.empty();
     }
-    return switch (download.received(part, now)) {
+    return switch (download.handlePart(part, now)) {
       case CatalogDownload.Result.None none -> Optional.empty();
       case CatalogDownload.Result.Continue next -> Optional.of(next.request());
       case CatalogDownload.Result.Complete complete -> {
@@ -104,11 +104,11 @@
 
   /** Returns the reply to a request of another host, or empty if this host has no catalog. */
   Optional<CatalogPart> part(String host, CatalogPart.Request request, long now) {
-    return source.part(host, request, now);
+    return source.servePart(host, request, now);
   }
 
   /** Schedules a catalog for decoding, after which it is put in force, if it is newer. */
-  void offer(PackedCatalog packed, String origin) {
+  void offer(CompressedCatalog packed, String origin) {
     if (packed.version() <= submittedVersion) {
       return;
     }
@@ -116,7 +116,7 @@
     background.execute(() -> decode(packed, origin));
   }
 
-  private void decode(PackedCatalog packed, String origin) {
+  private void decode(CompressedCatalog packed, String origin) {
     try {
       Catalog decoded = reader.read(packed.text());
       control.execute(() -> putInForce(decoded, packed, origin));
@@ -132,7 +132,7 @@
     retryAt = clock.millis() + RETRY_MILLIS;
   }
 
-  private void putInForce(Catalog decoded, PackedCatalog packed, String origin) {
+  private void putInForce(Catalog decoded, CompressedCatalog packed, String origin) {
     if (packed.version() <= current.version()) {
       return;
     }
--- a/burdockbay-server/src/main/java/org/burdockbay/server/node/EpochKeeper.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/node/EpochKeeper.java
@@ -43,7 +43,7 @@
   /** Saves epoch and layout in the background, if one of them is larger than before. */
   void remember(long epoch, ShardLayout layout) {
     EpochFile.Content content =
-        new EpochFile.Content(Math.max(epoch, saved.epoch()), saved.layout().or(layout));
+        new EpochFile.Content(Math.max(epoch, saved.epoch()), saved.layout().larger(layout));
     if (file.isPresent() && !content.equals(saved)) {
       saved = content;
       writer.execute(() -> write(file.get(), content));
--- a/burdockbay-server/src/main/java/org/burdockbay/server/node/Fleet.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/node/Fleet.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.Consumer;
-import org.burdockbay.core.fleet.UpstreamNotice;
+import org.burdockbay.core.fleet.UpstreamAnnouncement;
 import org.burdockbay.core.fleet.UpstreamRegistry;
 import org.burdockbay.core.lease.LeaseEvent;
 import org.burdockbay.core.message.PeerMessage;
@@ -46,7 +46,7 @@
   private final Consumer<LeaseEvent> dispatcher;
   private final Consumer<PeerMessage> others;
   private List<PeerMessage.UpstreamNews.Announced> announced = new ArrayList<>();
-  private List<UpstreamNotice> departed = new ArrayList<>();
+  private List<UpstreamAnnouncement> departed = new ArrayList<>();
   private final Deque<SentNews> sentNews = new ArrayDeque<>();
   private long tellAt;
 
@@ -64,12 +64,12 @@
    * <p>It is passed on at once if it says anything new, and otherwise rarely, so that the others
    * don't forget the upstream: most announcements only repeat the one before.
    */
-  void announcedHere(UpstreamNotice notice, long now) {
-    Optional<UpstreamNotice> before = registry.notice(notice.id());
+  void announcedHere(UpstreamAnnouncement notice, long now) {
+    Optional<UpstreamAnnouncement> before = registry.announcement(notice.id());
     if (!announced(notice, 0, now)) {
       return;
     }
-    boolean repeats = before.filter(notice::repeats).isPresent();
+    boolean repeats = before.filter(notice::hasSameContent).isPresent();
     if (!repeats || now >= tellAgainAt.getOrDefault(notice.id(), 0L)) {
       tellAgainAt.put(notice.id(), now + TELL_AGAIN_MILLIS);
       announced.add(new PeerMessage.UpstreamNews.Announced(notice, 0));
@@ -79,7 +79,7 @@
   /** Takes a departure that an upstream told this host. */
   void departedHere(String upstream, long now) {
     registry
-        .departed(upstream, now)
+        .recordDeparture(upstream, now)
         .ifPresent(
             notice -> {
               dispatcher.accept(new LeaseEvent.Departed(notice));
@@ -91,9 +91,9 @@
   /** Takes what another host passes on. */
   void told(PeerMessage.UpstreamNews news, long now) {
     news.announced().forEach(each -> announced(each.notice(), each.ageMillis(), now));
-    for (UpstreamNotice notice : news.departed()) {
+    for (UpstreamAnnouncement notice : news.departed()) {
       registry
-          .departed(notice.id(), now)
+          .recordDeparture(notice.id(), now)
           .ifPresent(known -> dispatcher.accept(new LeaseEvent.Departed(known)));
     }
   }
@@ -101,7 +101,7 @@
   /** Returns all that is known, for a host that may know nothing. */
   Optional<PeerMessage> tellAll(long now) {
     List<PeerMessage.UpstreamNews.Announced> all =
-        registry.notices().stream()
+        registry.announcements().stream()
             .map(
                 notice ->
                     new PeerMessage.UpstreamNews.Announced(notice, registry.ageMillis(notice, now)))
@@ -120,7 +120,7 @@
       return tellAll(now);
     }
     List<PeerMessage.UpstreamNews.Announced> missedAnnounced = new ArrayList<>();
-    List<UpstreamNotice> missedDeparted = new ArrayList<>();
+    List<UpstreamAnnouncement> missedDeparted = new ArrayList<>();
     for (SentNews sent : sentNews) {
       if (sent.sentAt >= since) {
         sent.news
@@ -140,13 +140,13 @@
 
   /** Returns the number of upstreams that are known. */
   int size() {
-    return registry.notices().size();
+    return registry.announcements().size();
   }
 
   /** Returns the layout that suits the upstreams that are known. */
   ShardLayout suitedLayout() {
-    Collection<UpstreamNotice> notices = registry.notices();
-    long domains = notices.stream().map(UpstreamNotice::domain).distinct().count();
+    Collection<UpstreamAnnouncement> notices = registry.announcements();
+    long domains = notices.stream().map(UpstreamAnnouncement::domain).distinct().count();
     return ShardLayout.of(notices.size(), Math.toIntExact(domains));
   }
 
@@ -162,16 +162,16 @@
     while (!sentNews.isEmpty() && now - sentNews.getFirst().sentAt > NEWS_RETENTION_MILLIS) {
       sentNews.removeFirst();
     }
-    registry.expire(now).forEach(this::expired);
+    registry.expireSilentUpstreams(now).forEach(this::expired);
   }
 
-  private void expired(UpstreamNotice lost) {
+  private void expired(UpstreamAnnouncement lost) {
     tellAgainAt.remove(lost.id());
     dispatcher.accept(new LeaseEvent.Departed(lost));
   }
 
-  private boolean announced(UpstreamNotice notice, long ageMillis, long now) {
-    boolean news = registry.announced(notice, ageMillis, now);
+  private boolean announced(UpstreamAnnouncement notice, long ageMillis, long now) {
+    boolean news = registry.recordAnnouncement(notice, ageMillis, now);
     if (news) {
       dispatcher.accept(new LeaseEvent.Announced(notice));
     }
--- a/burdockbay-server/src/main/java/org/burdockbay/server/node/HostDirectory.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/node/HostDirectory.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import org.burdockbay.core.membership.HostCard;
+import org.burdockbay.core.membership.HostDescriptor;
 
 /**
  * The other hosts that this one has heard of, directly or from others.
@@ -18,15 +18,15 @@
   /** Silence after which a host is forgotten, in milliseconds; longer than a power loss lasts. */
   static final long FORGET_MILLIS = 60_000;
 
-  private final HostCard self;
+  private final HostDescriptor self;
   private final Map<String, Known> hosts = new HashMap<>();
 
-  HostDirectory(HostCard self) {
+  HostDirectory(HostDescriptor self) {
     this.self = self;
   }
 
   /** Adds a host, and returns whether it is new or has changed. */
-  boolean add(HostCard card, long now) {
+  boolean add(HostDescriptor card, long now) {
     if (card.id().equals(self.id())) {
       return false;
     }
@@ -64,8 +64,8 @@
   }
 
   /** Forgets hosts that are silent for long, and returns them. */
-  List<HostCard> forget(long now) {
-    List<HostCard> forgotten = new ArrayList<>();
+  List<HostDescriptor> forget(long now) {
+    List<HostDescriptor> forgotten = new ArrayList<>();
     hosts
         .values()
         .removeIf(
@@ -80,8 +80,8 @@
   }
 
   /** Returns this host and the others. */
-  List<HostCard> cards() {
-    List<HostCard> cards = new ArrayList<>();
+  List<HostDescriptor> cards() {
+    List<HostDescriptor> cards = new ArrayList<>();
     cards.add(self);
     hosts.values().forEach(known -> cards.add(known.card));
     return cards;
@@ -99,11 +99,11 @@
 
   private static final class Known {
 
-    private final HostCard card;
+    private final HostDescriptor card;
     private long heardAt;
     private boolean heard;
 
-    Known(HostCard card, long heardAt) {
+    Known(HostDescriptor card, long heardAt) {
       this.card = card;
       this.heardAt = heardAt;
     }
--- a/burdockbay-server/src/main/java/org/burdockbay/server/node/HostGossip.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/node/HostGossip.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.burdockbay.core.membership.HostCard;
+import org.burdockbay.core.membership.HostDescriptor;
 import org.burdockbay.core.message.PeerMessage;
 import org.burdockbay.server.host.PeerSender;
 
@@ -36,7 +36,7 @@
    * @param wholeList whether to send the cards of all known hosts
    */
   void connected(String host, boolean wholeList) {
-    List<HostCard> cards = directory.cards();
+    List<HostDescriptor> cards = directory.cards();
     sender.send(host, new PeerMessage.KnownHosts(wholeList ? cards : List.of(cards.getFirst())));
   }
 
@@ -46,7 +46,7 @@
    * <p>A card that was not received from its own host is not passed on: the host that received it
    * first-hand does that.
    */
-  void learnt(HostCard card, String from) {
+  void learnt(HostDescriptor card, String from) {
     if (card.id().equals(from)) {
       PeerMessage message = new PeerMessage.KnownHosts(List.of(card));
       directory.others().forEach(host -> sender.send(host, message));
--- a/burdockbay-server/src/main/java/org/burdockbay/server/node/NodeController.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/node/NodeController.java
@@ -17,21 +17,21 @@
 import org.burdockbay.core.agreement.VoterId;
 import org.burdockbay.core.catalog.Catalog;
 import org.burdockbay.core.catalog.CatalogPart;
-import org.burdockbay.core.catalog.PackedCatalog;
+import org.burdockbay.core.catalog.CompressedCatalog;
 import org.burdockbay.core.clock.Clock;
 import org.burdockbay.core.control.ControlCommand;
 import org.burdockbay.core.control.ControlReply;
 import org.burdockbay.core.dispatch.DomainLoad;
-import org.burdockbay.core.fleet.UpstreamNotice;
+import org.burdockbay.core.fleet.UpstreamAnnouncement;
 import org.burdockbay.core.intake.IntakeEvent;
 import org.burdockbay.core.lease.LeaseEffect;
 import org.burdockbay.core.lease.LeaseEvent;
-import org.burdockbay.core.lease.LeaseTerms;
-import org.burdockbay.core.membership.HostCard;
+import org.burdockbay.core.lease.LeaseTiming;
+import org.burdockbay.core.membership.HostDescriptor;
 import org.burdockbay.core.membership.HostStatus;
 import org.burdockbay.core.membership.Membership;
 import org.burdockbay.core.membership.MembershipEffect;
-import org.burdockbay.core.membership.MembershipTerms;
+import org.burdockbay.core.membership.MembershipOptions;
 import org.burdockbay.core.membership.RouteView;
 import org.burdockbay.core.message.PeerMessage;
 import org.burdockbay.core.shard.ShardId;
@@ -57,7 +57,7 @@
 public final class NodeController implements PeerListener, AutoCloseable {
 
   /** Silence after which a host counts as lost, in milliseconds; three heartbeats fit into it. */
-  private static final long LOST_MILLIS = LeaseTerms.ENTRY_LOST_MILLIS;
+  private static final long LOST_MILLIS = LeaseTiming.ENTRY_HOST_SILENCE_TIMEOUT_MILLIS;
 
   /**
    * A host that says that it hasn't heard this one for so long is not reached by the connection to
@@ -108,10 +108,10 @@
   private final Map<String, Long> restartSeenAt = new HashMap<>();
 
   private final AtomicLong lastTicket;
-  private Map<ShardId, RouteView.Dispatching> dispatchers = Map.of();
+  private Map<ShardId, RouteView.ActiveDispatcher> dispatchers = Map.of();
   private volatile boolean dispatcherKnown;
   private volatile boolean draining;
-  private Optional<PackedCatalog> agreedCatalog = Optional.empty();
+  private Optional<CompressedCatalog> agreedCatalog = Optional.empty();
   private long aheadBefore;
   private long membershipAt;
   private long forgetAt;
@@ -139,9 +139,9 @@
             log,
             clock);
     this.membership =
-        Membership.growing(
+        Membership.withDiscovery(
             settings.card(),
-            MembershipTerms.ofAddress(settings.host(), LOST_MILLIS, settings.mayDispatch()),
+            MembershipOptions.ofAddress(settings.host(), LOST_MILLIS, settings.mayDispatch()),
             now);
     this.directory = new HostDirectory(settings.card());
     this.schedule = new HeartbeatSchedule(settings.host());
@@ -156,8 +156,8 @@
     this.agreement = storage.map(this::driver);
     this.epochs = new EpochKeeper(settings.dataFolder().map(EpochFile::new), log);
     EpochFile.Content recalled = epochs.recall();
-    membership.recall(recalled.epoch());
-    membership.recall(recalled.layout());
+    membership.restore(recalled.epoch());
+    membership.restore(recalled.layout());
     this.proposals = new ProposalClient(clock, agreement, this::leader, this::send);
     this.voters = new VoterKeeper(VOTERS, this::replaceable, log);
   }
@@ -192,7 +192,7 @@
   }
 
   /** Takes the announcement of an upstream that reached this host itself. */
-  public void announced(UpstreamNotice notice) {
+  public void announced(UpstreamAnnouncement notice) {
     onControl(() -> fleet.announcedHere(notice, clock.millis()));
   }
 
@@ -202,7 +202,7 @@
   }
 
   /** Publishes a catalog; the future gets the reply of the voters. */
-  public CompletableFuture<ControlReply> publish(PackedCatalog published) {
+  public CompletableFuture<ControlReply> publish(CompressedCatalog published) {
     return propose(new ControlCommand.PublishCatalog(published));
   }
 
@@ -264,7 +264,7 @@
     onControl(
         () -> {
           send(host, heartbeatTo(host, status()));
-          desk.intake(new IntakeEvent.PeerReset(host));
+          desk.intake(new IntakeEvent.PeerReconnected(host));
         });
   }
 
@@ -287,7 +287,7 @@
   private void receivedHeartbeat(String host, PeerMessage.Heartbeat heartbeat, long arrivedAt) {
     Runnable task = () -> handle(host, heartbeat, arrivedAt);
     HostStatus before = lastStatuses.put(host, heartbeat.status());
-    boolean repeats = before != null && before.equalsButLoad(heartbeat.status());
+    boolean repeats = before != null && before.equalsIgnoringLoad(heartbeat.status());
     if (repeats && !schedule.isReference(host)) {
       parts.thread().executeDeferred(task);
     } else {
@@ -307,7 +307,7 @@
   }
 
   private List<String> liveHosts() {
-    return membership.live().stream().map(HostStatus::host).toList();
+    return membership.liveHosts().stream().map(HostStatus::host).toList();
   }
 
   private Optional<AgreementStorage> openStorage() throws ServerException {
@@ -393,7 +393,7 @@
             submit.ticket(),
             submit.request(),
             submit.ageMillis(),
-            submit.quietMillis()),
+            submit.quietPeriodMillis()),
         arrivedAt);
   }
 
@@ -421,7 +421,7 @@
       case PeerMessage.KnownHosts known -> known.hosts().forEach(card -> learn(host, card, now));
       case PeerMessage.UpstreamNews news -> fleet.told(news, now);
       case PeerMessage.ReportWork report ->
-          desk.intake(new IntakeEvent.Reported(host, report.workId(), report.outcome()));
+          desk.intake(new IntakeEvent.OutcomeReported(host, report.workId(), report.outcome()));
       case PeerMessage.Agreement received ->
           agreement
               .filter(driver -> received.group().equals(GroupId.CONTROL))
@@ -443,24 +443,25 @@
 
   private void heard(PeerMessage.Heartbeat heartbeat, long arrivedAt, long now) {
     HostStatus status = heartbeat.status();
-    renewIfUnheard(status.host(), heartbeat.heardAgoMillis());
-    peerSync.heardBy(status.host(), status.incarnation(), heartbeat.heardAgoMillis(), arrivedAt);
+    renewIfUnheard(status.host(), heartbeat.lastContactAgeMillis());
+    peerSync.heardBy(
+        status.host(), status.incarnation(), heartbeat.lastContactAgeMillis(), arrivedAt);
     Long before = incarnations.put(status.host(), status.incarnation());
     if (before != null && before < status.incarnation()) {
       // The process was restarted within the time that its loss would have shown by silence. Work
       // of its earlier life that still waits here is nobody's any more.
       restartSeenAt.put(status.host(), arrivedAt);
-      desk.dispatch(new LeaseEvent.EntryLost(status.host()));
+      desk.dispatch(new LeaseEvent.EntryHostLost(status.host()));
     }
     run(membership.heartbeat(status, now));
     if (schedule.triggersHeartbeat(status.host(), now)) {
       heartbeat();
     }
     if (status.dispatcherEpoch() != 0) {
-      desk.intake(new IntakeEvent.LoadTold(status.host(), status.load()));
+      desk.intake(new IntakeEvent.LoadReported(status.host(), status.load()));
     }
-    desk.dispatch(new LeaseEvent.EntryHeard(status.host()), arrivedAt);
-    desk.intake(new IntakeEvent.DispatcherHeard(status.host()));
+    desk.dispatch(new LeaseEvent.EntryHostMessageReceived(status.host()), arrivedAt);
+    desk.intake(new IntakeEvent.DispatcherMessageReceived(status.host()));
     catalog
         .heard(status.configurationVersion(), now)
         .ifPresent(request -> fetch(status.host(), request));
@@ -497,7 +498,7 @@
   }
 
   private void connectSeed(HostAddress seed) {
-    HostCard card = new HostCard(seed.ip(), "", "", seed.toString());
+    HostDescriptor card = new HostDescriptor(seed.ip(), "", "", seed.toString());
     boolean known = directory.others().contains(seed.ip());
     if (!known && !seed.ip().equals(settings.host())) {
       directory.add(card, clock.millis());
@@ -505,13 +506,13 @@
     }
   }
 
-  private void learn(String from, HostCard card, long now) {
+  private void learn(String from, HostDescriptor card, long now) {
     if (card.group().isEmpty() || card.id().equals(settings.host())) {
       return;
     }
     boolean connected = directory.others().contains(card.id());
     if (directory.add(card, now)) {
-      membership.admit(card.id(), card.group(), now);
+      membership.addHost(card.id(), card.group(), now);
       log.info("host-learnt", "host=" + card.id() + " group=" + card.group());
       if (!connected) {
         connect(card);
@@ -520,7 +521,7 @@
     }
   }
 
-  private void connect(HostCard card) {
+  private void connect(HostDescriptor card) {
     HostAddress address = HostAddress.parse(card.address());
     parts.transport().connect(new PeerSettings(card.id(), card.domain(), address, false));
   }
@@ -530,7 +531,7 @@
       switch (effect) {
         case MembershipEffect.Claim claim -> {
           Set<ShardId> live = membership.routes().liveShards();
-          desk.dispatch(new LeaseEvent.ScopeChanged(claim.shard(), live));
+          desk.dispatch(new LeaseEvent.ShardsChanged(claim.shard(), live));
           desk.dispatch(new LeaseEvent.RoleGained(claim.epoch()));
           heartbeat();
         }
@@ -538,7 +539,7 @@
           desk.dispatch(new LeaseEvent.RoleLost());
           heartbeat();
         }
-        case MembershipEffect.Routes routes -> routed(routes.view());
+        case MembershipEffect.RoutesChanged routes -> routed(routes.view());
         case MembershipEffect.LayoutChanged changed -> layoutChanged(changed);
         case MembershipEffect.HostLost lost ->
             log.warn("host-lost", "lost=" + lost.host() + " silence=" + LOST_MILLIS);
@@ -551,9 +552,9 @@
     log.info(
         "layout",
         "before="
-            + changed.before().shardsPerDomain()
+            + changed.previous().shardsPerDomain()
             + " now="
-            + changed.now().shardsPerDomain()
+            + changed.current().shardsPerDomain()
             + " upstreams="
             + fleet.size());
     heartbeat();
@@ -565,7 +566,7 @@
     dispatcherKnown = !dispatchers.isEmpty();
     membership
         .claimedShard()
-        .ifPresent(own -> desk.dispatch(new LeaseEvent.ScopeChanged(own, view.liveShards())));
+        .ifPresent(own -> desk.dispatch(new LeaseEvent.ShardsChanged(own, view.liveShards())));
     Map<ShardId, IntakeEvent.Dispatcher> known = new HashMap<>();
     dispatchers.forEach(
         (shard, found) ->
@@ -573,11 +574,11 @@
     desk.intake(new IntakeEvent.DispatchersChanged(known));
   }
 
-  private void logDispatchers(Map<ShardId, RouteView.Dispatching> now) {
+  private void logDispatchers(Map<ShardId, RouteView.ActiveDispatcher> now) {
     Set<ShardId> shards = new TreeSet<>(now.keySet());
     shards.addAll(dispatchers.keySet());
     for (ShardId shard : shards) {
-      RouteView.Dispatching found = now.get(shard);
+      RouteView.ActiveDispatcher found = now.get(shard);
       if (found == null) {
         log.info("dispatcher", "shard=" + shard + " none");
       } else if (!found.equals(dispatchers.get(shard))) {
@@ -589,12 +590,12 @@
   }
 
   /** Claims the role anew with a higher token, or leaves it to a host that is heard with one. */
-  private void outranked(LeaseEffect.Outranked lost) {
-    run(membership.outranked(lost.token(), lost.obeyedBefore(), clock.millis()));
+  private void outranked(LeaseEffect.Superseded lost) {
+    run(membership.handleSupersededClaim(lost.token(), lost.acceptedBefore(), clock.millis()));
   }
 
   private void startOver() {
-    run(membership.startOver(clock.millis()));
+    run(membership.reset(clock.millis()));
   }
 
   /**
@@ -607,7 +608,7 @@
     long ahead = System.currentTimeMillis() - now;
     if (ahead - aheadBefore > SUSPENDED_MILLIS) {
       log.warn("clock-ahead", "millis=" + (ahead - aheadBefore));
-      desk.dispatch(new LeaseEvent.Stalled(ahead - aheadBefore));
+      desk.dispatch(new LeaseEvent.ProcessPaused(ahead - aheadBefore));
     }
     aheadBefore = ahead;
   }
@@ -634,7 +635,7 @@
     }
     if (now >= reconcileAt) {
       reconcileAt = now + RECONCILE_MILLIS;
-      run(membership.suits(fleet.suitedLayout(), now));
+      run(membership.growLayout(fleet.suitedLayout(), now));
       agreement
           .filter(AgreementDriver::leads)
           .ifPresent(driver -> voters.reconcile(driver.node(), voterStatuses(), now));
@@ -648,7 +649,7 @@
   }
 
   private List<HostStatus> voterStatuses() {
-    List<HostStatus> statuses = new ArrayList<>(membership.live());
+    List<HostStatus> statuses = new ArrayList<>(membership.liveHosts());
     statuses.removeIf(status -> status.storageIncarnation() == 0);
     return statuses;
   }
@@ -667,7 +668,7 @@
     schedule.sent(liveHosts(), clock.millis());
     HostStatus status = status();
     if (status.dispatcherEpoch() != 0) {
-      desk.intake(new IntakeEvent.LoadTold(status.host(), status.load()));
+      desk.intake(new IntakeEvent.LoadReported(status.host(), status.load()));
     }
     directory.others().forEach(host -> parts.transport().send(host, heartbeatTo(host, status)));
   }
@@ -687,7 +688,7 @@
         catalog.current().version(),
         membership.claimedEpoch(),
         membership.highestEpoch(),
-        membership.draining(),
+        membership.isDraining(),
         leader().orElse(""),
         membership.claimedEpoch() == 0 ? NO_LOAD : desk.load(),
         settings.card().domain(),
@@ -704,7 +705,7 @@
     if (own.isPresent()) {
       return own;
     }
-    return membership.live().stream()
+    return membership.liveHosts().stream()
         .map(HostStatus::leader)
         .filter(leader -> !leader.isEmpty())
         .findFirst();
--- a/burdockbay-server/src/main/java/org/burdockbay/server/node/NodeSettings.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/node/NodeSettings.java
@@ -3,7 +3,7 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Optional;
-import org.burdockbay.core.membership.HostCard;
+import org.burdockbay.core.membership.HostDescriptor;
 import org.burdockbay.server.settings.HostAddress;
 
 /**
@@ -19,7 +19,7 @@
  */
 public record NodeSettings(
     String cluster,
-    HostCard card,
+    HostDescriptor card,
     HostAddress address,
     boolean mayDispatch,
     List<HostAddress> seeds,
--- a/burdockbay-server/src/main/java/org/burdockbay/server/node/WorkDesk.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/node/WorkDesk.java
@@ -13,7 +13,7 @@
 import org.burdockbay.core.lease.LeaseDispatcher;
 import org.burdockbay.core.lease.LeaseEffect;
 import org.burdockbay.core.lease.LeaseEvent;
-import org.burdockbay.core.lease.LeaseTerms;
+import org.burdockbay.core.lease.LeaseTiming;
 import org.burdockbay.core.message.PeerMessage;
 import org.burdockbay.core.work.WorkOutcome;
 import org.burdockbay.core.work.WorkRequest;
@@ -34,7 +34,7 @@
   private final PeerSender sender;
   private final Executor control;
   private final Executor work;
-  private final Consumer<LeaseEffect.Outranked> outranked;
+  private final Consumer<LeaseEffect.Superseded> outranked;
   private final Runnable startOver;
 
   WorkDesk(
@@ -42,14 +42,14 @@
       PeerSender sender,
       Executor control,
       Executor work,
-      Consumer<LeaseEffect.Outranked> outranked,
+      Consumer<LeaseEffect.Superseded> outranked,
       Runnable startOver) {
-    this.dispatcher = new LeaseDispatcher(parts.settings().host(), LeaseTerms.DEFAULT);
+    this.dispatcher = new LeaseDispatcher(parts.settings().host(), LeaseTiming.DEFAULT);
     this.intake =
         new WorkIntake(
             parts.settings().host(),
             parts.settings().card().domain(),
-            LeaseTerms.ENTRY_LOST_MILLIS + LeaseTerms.DEFAULT.longestMillis());
+            LeaseTiming.ENTRY_HOST_SILENCE_TIMEOUT_MILLIS + LeaseTiming.DEFAULT.maxLeaseMillis());
     this.clock = parts.clock();
     this.log = parts.log();
     this.upstreams = parts.upstreams();
@@ -63,20 +63,20 @@
 
   void open(long ticket, WorkRequest request, Consumer<WorkOutcome> answer) {
     answers.put(ticket, answer);
-    intake(new IntakeEvent.Opened(ticket, request));
+    intake(new IntakeEvent.RequestReceived(ticket, request));
   }
 
   void leave(long ticket) {
     answers.remove(ticket);
-    intake(new IntakeEvent.Left(ticket));
+    intake(new IntakeEvent.CallerDisconnected(ticket));
   }
 
   int waiting() {
-    return intake.waiting();
+    return intake.waitingCallers();
   }
 
   int inFlight() {
-    return intake.waiting() + dispatcher.unanswered();
+    return intake.waitingCallers() + dispatcher.unansweredCount();
   }
 
   /** Returns how much room there is on the upstreams that this host dispatches to. */
@@ -100,13 +100,13 @@
                     submit.ticket(),
                     submit.request(),
                     submit.ageMillis(),
-                    submit.quietMillis()));
+                    submit.quietPeriodMillis()));
         case IntakeEffect.Cancel cancel ->
             sender.send(
                 cancel.to().host(),
                 new PeerMessage.CancelWork(cancel.to().token(), cancel.workId()));
         case IntakeEffect.Answer answer -> answer(answer);
-        case IntakeEffect.Note note -> log.info(note.event(), note.fields());
+        case IntakeEffect.LogEvent note -> log.info(note.event(), note.fields());
       }
     }
   }
@@ -134,9 +134,9 @@
         case LeaseEffect.Report report ->
             sender.send(
                 report.entryHost(), new PeerMessage.ReportWork(report.workId(), report.outcome()));
-        case LeaseEffect.Outranked lost -> control.execute(() -> outranked.accept(lost));
-        case LeaseEffect.Stalled stalled -> control.execute(startOver);
-        case LeaseEffect.Note note -> {
+        case LeaseEffect.Superseded lost -> control.execute(() -> outranked.accept(lost));
+        case LeaseEffect.RoleReleased stalled -> control.execute(startOver);
+        case LeaseEffect.LogEvent note -> {
           metrics.event(note.event());
           log.info(note.event(), note.fields());
         }
--- a/burdockbay-server/src/main/java/org/burdockbay/server/runner/RunnerClient.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/runner/RunnerClient.java
@@ -83,7 +83,7 @@
   }
 
   /** Asks about an attempt over a new connection. */
-  public void ask(DispatchEffect.AskAttempt effect, RunnerListener listener) {
+  public void ask(DispatchEffect.QueryAttempt effect, RunnerListener listener) {
     RunnerMessages.Ask body =
         new RunnerMessages.Ask(
             effect.attempt().toString(),
--- a/burdockbay-server/src/main/java/org/burdockbay/server/settings/HostSettings.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/settings/HostSettings.java
@@ -157,8 +157,9 @@
         host.text("runner-token"),
         path(host, "data-folder"),
         tls,
-        new RequestLimits(host.whole("max-open-requests"), host.whole("max-body-kib") * 1024),
-        host.whole("drain-ms"),
+        new RequestLimits(
+            host.wholeNumber("max-open-requests"), host.wholeNumber("max-body-kib") * 1024),
+        host.wholeNumber("drain-ms"),
         peers);
   }
 
--- a/burdockbay-server/src/main/java/org/burdockbay/server/settings/HostSettingsSchema.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/settings/HostSettingsSchema.java
@@ -26,48 +26,48 @@
         false,
         "This host.",
         List.of(
-            key("id").text(DispatchSchema.NAME_PATTERN, NAME_HELP).help("Id of the host."),
+            key("id").text(DispatchSchema.NAME_PATTERN, NAME_HELP).build("Id of the host."),
             domain(),
             key("cluster")
                 .text(DispatchSchema.NAME_PATTERN, NAME_HELP)
-                .help("Name of the cluster; hosts of another one are refused."),
+                .build("Name of the cluster; hosts of another one are refused."),
             key("secret")
                 .text("\\S{16,256}", "16 to 256 characters without blanks")
-                .help("Secret that the hosts of the cluster share to know each other."),
-            key("peer-address").text(ADDRESS, ADDRESS_HELP).help("Where other hosts connect."),
+                .build("Secret that the hosts of the cluster share to know each other."),
+            key("peer-address").text(ADDRESS, ADDRESS_HELP).build("Where other hosts connect."),
             key("http-address")
                 .text(ADDRESS, ADDRESS_HELP)
-                .help("Where callers, runners and operators connect."),
+                .build("Where callers, runners and operators connect."),
             key("operator-token")
                 .text("\\S{16,256}", "16 to 256 characters without blanks")
-                .help("Bearer credential of operators."),
+                .build("Bearer credential of operators."),
             key("runner-token")
                 .text("\\S{16,256}", "16 to 256 characters without blanks")
-                .help("Bearer credential of runners."),
+                .build("Bearer credential of runners."),
             key("data-folder")
                 .text(".*", "a path, or nothing on a host without a disk")
-                .fallback("")
-                .help("Data folder; a host that has one takes part in the agreement."),
+                .defaultValue("")
+                .build("Data folder; a host that has one takes part in the agreement."),
             key("tls-certificate")
                 .text(".*", "a path to a PEM file, or nothing")
-                .fallback("")
-                .help("Certificate chain for HTTPS; plain HTTP where it is missing."),
+                .defaultValue("")
+                .build("Certificate chain for HTTPS; plain HTTP where it is missing."),
             key("tls-key")
                 .text(".*", "a path to a PEM file, or nothing")
-                .fallback("")
-                .help("Private key of the certificate, PKCS 8."),
+                .defaultValue("")
+                .build("Private key of the certificate, PKCS 8."),
             key("max-open-requests")
-                .whole(1, 1_000_000)
-                .fallback("10000")
-                .help("Requests of callers that may wait at once."),
+                .wholeNumber(1, 1_000_000)
+                .defaultValue("10000")
+                .build("Requests of callers that may wait at once."),
             key("max-body-kib")
-                .whole(1, 65_536)
-                .fallback("1024")
-                .help("Largest body of a request, in KiB."),
+                .wholeNumber(1, 65_536)
+                .defaultValue("1024")
+                .build("Largest body of a request, in KiB."),
             key("drain-ms")
-                .whole(100, 3_600_000)
-                .fallback("30000")
-                .help("Longest time for which a planned stop waits for requests in flight.")));
+                .wholeNumber(100, 3_600_000)
+                .defaultValue("30000")
+                .build("Longest time for which a planned stop waits for requests in flight.")));
   }
 
   private static SectionDefinition peer() {
@@ -77,16 +77,16 @@
         "Another host; the header carries its id.",
         List.of(
             domain(),
-            key("address").text(ADDRESS, ADDRESS_HELP).help("Its peer address."),
+            key("address").text(ADDRESS, ADDRESS_HELP).build("Its peer address."),
             key("voter")
                 .flag()
-                .fallback("false")
-                .help("Whether it has a data folder and takes part in the agreement.")));
+                .defaultValue("false")
+                .build("Whether it has a data folder and takes part in the agreement.")));
   }
 
   private static SettingDefinition domain() {
     return key("domain")
         .text(DispatchSchema.NAME_PATTERN, NAME_HELP)
-        .help("The failure domain of the host.");
+        .build("The failure domain of the host.");
   }
 }
--- a/burdockbay-server/src/main/java/org/burdockbay/server/transport/TransportSettings.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/transport/TransportSettings.java
@@ -47,6 +47,6 @@
         LISTED_LOOPS,
         LISTED_PING_MILLIS,
         LISTED_SILENCE_MILLIS,
-        Membership.LOST_MILLIS);
+        Membership.SILENCE_TIMEOUT_MILLIS);
   }
 }
--- a/burdockbay-server/src/test/java/org/burdockbay/server/node/CatalogKeeperTest.java
+++ b/burdockbay-server/src/test/java/org/burdockbay/server/node/CatalogKeeperTest.java
@@ -10,14 +10,14 @@
 import org.burdockbay.core.agreement.Bytes;
 import org.burdockbay.core.catalog.Catalog;
 import org.burdockbay.core.catalog.CatalogPart;
-import org.burdockbay.core.catalog.PackedCatalog;
+import org.burdockbay.core.catalog.CompressedCatalog;
 import org.burdockbay.server.logging.EventLog;
 import org.testng.annotations.Test;
 
 /** Tests {@link CatalogKeeper}. */
 public class CatalogKeeperTest {
 
-  private static final PackedCatalog CATALOG = PackedCatalog.of(1, "{}");
+  private static final CompressedCatalog CATALOG = CompressedCatalog.of(1, "{}");
 
   private final AtomicLong now = new AtomicLong(1_000);
   private final CatalogKeeper keeper =
--- a/burdockbay-server/src/test/java/org/burdockbay/server/node/FleetTest.java
+++ b/burdockbay-server/src/test/java/org/burdockbay/server/node/FleetTest.java
@@ -6,7 +6,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
-import org.burdockbay.core.fleet.UpstreamNotice;
+import org.burdockbay.core.fleet.UpstreamAnnouncement;
 import org.burdockbay.core.lease.LeaseEvent;
 import org.burdockbay.core.message.PeerMessage;
 import org.burdockbay.core.work.TaskSize;
@@ -98,12 +98,12 @@
         news.departed());
   }
 
-  private static UpstreamNotice notice() {
+  private static UpstreamAnnouncement notice() {
     return notice(1, false);
   }
 
-  private static UpstreamNotice notice(long sequence, boolean leaving) {
-    return new UpstreamNotice(
+  private static UpstreamAnnouncement notice(long sequence, boolean leaving) {
+    return new UpstreamAnnouncement(
         "u1",
         1,
         sequence,
--- a/burdockbay-server/src/test/java/org/burdockbay/server/node/HostGossipTest.java
+++ b/burdockbay-server/src/test/java/org/burdockbay/server/node/HostGossipTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import org.burdockbay.core.membership.HostCard;
+import org.burdockbay.core.membership.HostDescriptor;
 import org.burdockbay.core.message.PeerMessage;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
@@ -14,9 +14,9 @@
 /** Which hosts others are told of. */
 public class HostGossipTest {
 
-  private static final HostCard SELF = card("10.0.0.1");
-  private static final HostCard OLD = card("10.0.0.2");
-  private static final HostCard NEW = card("10.0.0.3");
+  private static final HostDescriptor SELF = card("10.0.0.1");
+  private static final HostDescriptor OLD = card("10.0.0.2");
+  private static final HostDescriptor NEW = card("10.0.0.3");
 
   private final Map<String, PeerMessage> told = new TreeMap<>();
   private HostDirectory directory;
@@ -71,7 +71,7 @@
     assertEquals(told.get(OLD.id()), new PeerMessage.KnownHosts(List.of(SELF, OLD)));
   }
 
-  private static HostCard card(String ip) {
-    return new HostCard(ip, "g", "north", ip + ":1");
+  private static HostDescriptor card(String ip) {
+    return new HostDescriptor(ip, "g", "north", ip + ":1");
   }
 }
--- a/burdockbay-server/src/test/java/org/burdockbay/server/node/OverloadedHostTest.java
+++ b/burdockbay-server/src/test/java/org/burdockbay/server/node/OverloadedHostTest.java
@@ -14,13 +14,13 @@
 import org.burdockbay.core.catalog.Catalog;
 import org.burdockbay.core.catalog.CatalogException;
 import org.burdockbay.core.catalog.CatalogPart;
-import org.burdockbay.core.catalog.PackedCatalog;
+import org.burdockbay.core.catalog.CompressedCatalog;
 import org.burdockbay.core.clock.Clock;
 import org.burdockbay.core.dispatch.DomainLoad;
 import org.burdockbay.core.lease.LeaseEffect;
 import org.burdockbay.core.lease.LeaseEvent;
-import org.burdockbay.core.lease.LeaseTerms;
-import org.burdockbay.core.membership.HostCard;
+import org.burdockbay.core.lease.LeaseTiming;
+import org.burdockbay.core.membership.HostDescriptor;
 import org.burdockbay.core.membership.HostStatus;
 import org.burdockbay.core.message.PeerMessage;
 import org.burdockbay.core.work.WorkRequest;
@@ -63,7 +63,7 @@
     NodeSettings settings =
         new NodeSettings(
             "c",
-            new HostCard(HOST, "entry", "a", address.toString()),
+            new HostDescriptor(HOST, "entry", "a", address.toString()),
             address,
             true,
             List.of(new HostAddress(OTHER, 1)),
@@ -117,7 +117,8 @@
     long passed = release() - begun;
     long sent = heartbeats() - before;
     assertTrue(
-        sent >= passed / LeaseTerms.ENTRY_LOST_MILLIS, sent + " heartbeats in " + passed + " ms");
+        sent >= passed / LeaseTiming.ENTRY_HOST_SILENCE_TIMEOUT_MILLIS,
+        sent + " heartbeats in " + passed + " ms");
   }
 
   private void pileUp() {
@@ -156,7 +157,7 @@
   }
 
   private static PeerMessage catalog(long version) {
-    PackedCatalog packed = PackedCatalog.of(version, "");
+    CompressedCatalog packed = CompressedCatalog.of(version, "");
     int size = packed.data().size();
     return new PeerMessage.SendCatalogPart(new CatalogPart(version, size, 0, packed.data()));
   }
@@ -169,7 +170,15 @@
 
   private static TransportSettings transport(HostAddress address) {
     return new TransportSettings(
-        "c", HOST, "", address, other -> true, 1, 1_000, 1_000, LeaseTerms.ENTRY_LOST_MILLIS);
+        "c",
+        HOST,
+        "",
+        address,
+        other -> true,
+        1,
+        1_000,
+        1_000,
+        LeaseTiming.ENTRY_HOST_SILENCE_TIMEOUT_MILLIS);
   }
 
   /** A clock by which the control thread needs a millisecond from one reading to the next. */
--- a/burdockbay-server/src/test/java/org/burdockbay/server/transport/CatalogCodecTest.java
+++ b/burdockbay-server/src/test/java/org/burdockbay/server/transport/CatalogCodecTest.java
@@ -4,7 +4,7 @@
 
 import org.burdockbay.core.agreement.Bytes;
 import org.burdockbay.core.catalog.CatalogPart;
-import org.burdockbay.core.catalog.PackedCatalog;
+import org.burdockbay.core.catalog.CompressedCatalog;
 import org.burdockbay.core.control.ControlCommand;
 import org.burdockbay.core.message.PeerMessage;
 import org.burdockbay.wire.ControlCodec;
@@ -15,7 +15,7 @@
 /** Tests the encoding of catalogs in peer messages and in the agreement log. */
 public class CatalogCodecTest {
 
-  private static final PackedCatalog CATALOG = PackedCatalog.of(7, "{\"version\":7}");
+  private static final CompressedCatalog CATALOG = CompressedCatalog.of(7, "{\"version\":7}");
 
   /** Guards against fields that are lost in encoding, such as the offset of a part. */
   @Test
--- a/burdockbay-wire/src/main/java/org/burdockbay/wire/ControlCodec.java
+++ b/burdockbay-wire/src/main/java/org/burdockbay/wire/ControlCodec.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Optional;
 import org.burdockbay.core.agreement.Bytes;
-import org.burdockbay.core.catalog.PackedCatalog;
+import org.burdockbay.core.catalog.CompressedCatalog;
 import org.burdockbay.core.control.ControlCommand;
 import org.burdockbay.core.control.ControlImage;
 import org.burdockbay.core.control.ControlReply;
@@ -86,7 +86,7 @@
 
   static Wire.ControlCommand encode(ControlCommand command) {
     return switch (command) {
-      case ControlCommand.ToLedger toLedger ->
+      case ControlCommand.LedgerOperation toLedger ->
           Wire.ControlCommand.newBuilder().setLedger(encode(toLedger.command())).build();
       case ControlCommand.ApplyConfiguration apply ->
           Wire.ControlCommand.newBuilder()
@@ -107,12 +107,12 @@
   static Wire.ControlReply encode(ControlReply reply) {
     Wire.ControlReply.Builder builder = Wire.ControlReply.newBuilder();
     switch (reply) {
-      case ControlReply.FromLedger fromLedger -> builder.setLedger(encode(fromLedger.reply()));
+      case ControlReply.LedgerResult fromLedger -> builder.setLedger(encode(fromLedger.reply()));
       case ControlReply.Accepted accepted -> builder.setAccepted(accepted.version());
       case ControlReply.VersionConflict conflict ->
           builder.setVersionConflict(conflict.currentVersion());
       case ControlReply.Unavailable unavailable -> builder.setUnavailable(true);
-      case ControlReply.Catalog read -> builder.setCatalog(encode(read.catalog()));
+      case ControlReply.CatalogContent read -> builder.setCatalog(encode(read.catalog()));
     }
     return builder.build();
   }
@@ -158,7 +158,7 @@
       case LedgerReply.Unknown unknown -> builder.setUnknown(true);
       case LedgerReply.OpenElsewhere elsewhere -> builder.setOpenElsewhere(elsewhere.domain());
       case LedgerReply.Closed closed -> builder.setClosed(SubmissionCodec.encode(closed.outcome()));
-      case LedgerReply.OtherContent other -> builder.setOtherContent(true);
+      case LedgerReply.ContentMismatch other -> builder.setOtherContent(true);
       case LedgerReply.Fenced fenced -> builder.setFenced(fenced.epoch());
       case LedgerReply.Full full -> builder.setFull(true);
       case LedgerReply.Unavailable unavailable -> builder.setUnavailable(true);
@@ -192,23 +192,23 @@
     return builder.build();
   }
 
-  private static Wire.CatalogDocument encode(PackedCatalog catalog) {
+  private static Wire.CatalogDocument encode(CompressedCatalog catalog) {
     return Wire.CatalogDocument.newBuilder()
         .setVersion(catalog.version())
         .setPacked(ByteString.copyFrom(catalog.data().toArray()))
         .build();
   }
 
-  private static PackedCatalog decode(Wire.CatalogDocument document) {
+  private static CompressedCatalog decode(Wire.CatalogDocument document) {
     return document.getPacked().isEmpty()
-        ? PackedCatalog.of(document.getVersion(), document.getText())
-        : new PackedCatalog(
+        ? CompressedCatalog.of(document.getVersion(), document.getText())
+        : new CompressedCatalog(
             document.getVersion(), Bytes.copyOf(document.getPacked().toByteArray()));
   }
 
   static ControlCommand decode(Wire.ControlCommand command) throws WireException {
     return switch (command.getCommandCase()) {
-      case LEDGER -> new ControlCommand.ToLedger(decode(command.getLedger()));
+      case LEDGER -> new ControlCommand.LedgerOperation(decode(command.getLedger()));
       case APPLY -> {
         Wire.ApplyConfiguration apply = command.getApply();
         yield new ControlCommand.ApplyConfiguration(
@@ -223,11 +223,11 @@
 
   static ControlReply decode(Wire.ControlReply reply) throws WireException {
     return switch (reply.getReplyCase()) {
-      case LEDGER -> new ControlReply.FromLedger(decode(reply.getLedger()));
+      case LEDGER -> new ControlReply.LedgerResult(decode(reply.getLedger()));
       case ACCEPTED -> new ControlReply.Accepted(reply.getAccepted());
       case VERSION_CONFLICT -> new ControlReply.VersionConflict(reply.getVersionConflict());
       case UNAVAILABLE -> new ControlReply.Unavailable();
-      case CATALOG -> new ControlReply.Catalog(decode(reply.getCatalog()));
+      case CATALOG -> new ControlReply.CatalogContent(decode(reply.getCatalog()));
       case REPLY_NOT_SET -> throw new WireException("control reply of an unknown kind");
     };
   }
@@ -269,7 +269,7 @@
       case UNKNOWN -> new LedgerReply.Unknown();
       case OPEN_ELSEWHERE -> new LedgerReply.OpenElsewhere(reply.getOpenElsewhere());
       case CLOSED -> new LedgerReply.Closed(SubmissionCodec.decode(reply.getClosed()));
-      case OTHER_CONTENT -> new LedgerReply.OtherContent();
+      case OTHER_CONTENT -> new LedgerReply.ContentMismatch();
       case FENCED -> new LedgerReply.Fenced(reply.getFenced());
       case FULL -> new LedgerReply.Full();
       case UNAVAILABLE -> new LedgerReply.Unavailable();
--- a/burdockbay-wire/src/main/java/org/burdockbay/wire/FleetCodec.java
+++ b/burdockbay-wire/src/main/java/org/burdockbay/wire/FleetCodec.java
@@ -1,8 +1,8 @@
 package org.burdockbay.wire;
 
 import java.util.Set;
-import org.burdockbay.core.fleet.UpstreamNotice;
-import org.burdockbay.core.membership.HostCard;
+import org.burdockbay.core.fleet.UpstreamAnnouncement;
+import org.burdockbay.core.membership.HostDescriptor;
 import org.burdockbay.core.message.PeerMessage;
 import org.burdockbay.wire.proto.Wire;
 
@@ -20,7 +20,7 @@
 
   static Wire.HostCards encode(PeerMessage.KnownHosts known) {
     Wire.HostCards.Builder builder = Wire.HostCards.newBuilder();
-    for (HostCard card : known.hosts()) {
+    for (HostDescriptor card : known.hosts()) {
       builder.addHosts(
           Wire.HostCard.newBuilder()
               .setId(card.id())
@@ -31,10 +31,10 @@
     return builder.build();
   }
 
-  private static Wire.UpstreamNotice encode(UpstreamNotice notice, long ageMillis) {
+  private static Wire.UpstreamNotice encode(UpstreamAnnouncement notice, long ageMillis) {
     return Wire.UpstreamNotice.newBuilder()
         .setId(notice.id())
-        .setBornMs(notice.bornMillis())
+        .setBornMs(notice.startedAt())
         .setSequence(notice.sequence())
         .setService(notice.service())
         .setAddress(notice.address())
@@ -59,13 +59,13 @@
         cards.getHostsList().stream()
             .map(
                 card ->
-                    new HostCard(
+                    new HostDescriptor(
                         card.getId(), card.getGroup(), card.getDomain(), card.getAddress()))
             .toList());
   }
 
-  private static UpstreamNotice decode(Wire.UpstreamNotice notice) {
-    return new UpstreamNotice(
+  private static UpstreamAnnouncement decode(Wire.UpstreamNotice notice) {
+    return new UpstreamAnnouncement(
         notice.getId(),
         notice.getBornMs(),
         notice.getSequence(),
--- a/burdockbay-wire/src/main/java/org/burdockbay/wire/PeerCodec.java
+++ b/burdockbay-wire/src/main/java/org/burdockbay/wire/PeerCodec.java
@@ -34,7 +34,7 @@
                   .setRequestId(proposed.requestId())
                   .setReply(ControlCodec.encode(proposed.reply())));
       case PeerMessage.FetchConfiguration fetch ->
-          envelope.setFetchConfiguration(fetch.haveVersion());
+          envelope.setFetchConfiguration(fetch.knownVersion());
       case PeerMessage.ConfigurationText text ->
           envelope.setConfigurationText(
               Wire.Envelope.ConfigurationText.newBuilder()
@@ -88,7 +88,7 @@
         .setLeader(status.leader())
         .setFreeSlots(status.load().freeSlots())
         .setWaitMs(status.load().waitMillis())
-        .setHeardAgoMsPlusOne(heartbeat.heardAgoMillis().orElse(-1) + 1)
+        .setHeardAgoMsPlusOne(heartbeat.lastContactAgeMillis().orElse(-1) + 1)
         .setFailureDomain(status.failureDomain())
         .setShardsPerDomain(status.layout().shardsPerDomain())
         .setShardDomain(status.shard().domain())
--- a/burdockbay-wire/src/main/java/org/burdockbay/wire/RaftCodec.java
+++ b/burdockbay-wire/src/main/java/org/burdockbay/wire/RaftCodec.java
@@ -28,8 +28,8 @@
       case RaftMessage.VoteRequest request ->
           raft.setVoteRequest(
               Wire.Raft.VoteRequest.newBuilder()
-                  .setLastIndex(request.lastIndex())
-                  .setLastTerm(request.lastTerm())
+                  .setLastIndex(request.lastLogIndex())
+                  .setLastTerm(request.lastLogTerm())
                   .setPreVote(request.preVote())
                   .setTransfer(request.transfer()));
       case RaftMessage.VoteReply reply ->
@@ -192,8 +192,8 @@
 
   private static Wire.Raft.AppendRequest append(RaftMessage.AppendRequest request) {
     return Wire.Raft.AppendRequest.newBuilder()
-        .setPrevIndex(request.prevIndex())
-        .setPrevTerm(request.prevTerm())
+        .setPrevIndex(request.prevLogIndex())
+        .setPrevTerm(request.prevLogTerm())
         .addAllEntries(request.entries().stream().map(RaftCodec::encode).toList())
         .setCommitIndex(request.commitIndex())
         .build();
--- a/burdockbay-wire/src/main/java/org/burdockbay/wire/WorkCodec.java
+++ b/burdockbay-wire/src/main/java/org/burdockbay/wire/WorkCodec.java
@@ -29,7 +29,7 @@
             .setTargetMs(request.targetMillis())
             .setBudgetMs(request.budgetMillis())
             .setAgeMs(submit.ageMillis())
-            .setQuietMs(submit.quietMillis())
+            .setQuietMs(submit.quietPeriodMillis())
             .setTicket(submit.ticket())
             .setToken(submit.token());
     request.steps().forEach(step -> builder.addSteps(encode(step)));
@@ -65,13 +65,13 @@
 
   private static Wire.WorkStep encode(WorkStep step) {
     return Wire.WorkStep.newBuilder()
-        .setTasks(step.tasks())
+        .setTasks(step.taskCount())
         .setSize(encode(step.size()))
         .setEstimateMs(step.estimateMillis())
-        .addAllAfter(step.after())
+        .addAllAfter(step.predecessors())
         .setRequiredLabel(step.requiredLabel().orElse(""))
         .setNearRack(step.nearRack().orElse(""))
-        .setMostOnOneUpstream(step.mostOnOneUpstream())
+        .setMostOnOneUpstream(step.maxTasksPerUpstream())
         .build();
   }
 
