--- a/burdockbay-core/src/main/java/org/burdockbay/core/lease/AdmissionRule.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/lease/AdmissionRule.java
@@ -5,47 +5,53 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** Decides which work goes first, and which can no longer be served. */
+/** Orders waiting work and decides which work is refused because it can't be served in time. */
 final class AdmissionRule {
 
-  /** When a refused caller may come back, in milliseconds: a few times the usual run time. */
+  /**
+   * Interval after which a refused caller may retry, in milliseconds: a few times the usual run
+   * time.
+   */
   static final long RETRY_AFTER_MILLIS = 1_000;
 
   /**
-   * The share of all room that one piece of work can count on beside the others: what a prompt
-   * answer is for wider work is agreed with callers by this share.
+   * The share of the total capacity that one piece of work can rely on beside other work. For work
+   * that needs more, the time for a prompt answer is agreed with callers on this basis.
    */
   private static final double CAPACITY_SHARE_PER_WORK = 0.25;
 
-  /** The share of the time for a prompt answer in which work counts as just arrived. */
+  /** Work counts as newly arrived during this share of the time for a prompt answer. */
   private static final double NEW_WORK_SHARE = 0.25;
 
   /**
-   * By how much the wait of work that has just arrived is taken longer than predicted.
+   * Factor on the predicted wait of newly arrived work.
    *
-   * <p>Work of higher priority that comes later goes first, and estimates are rough. Without a
-   * margin, callers wait for the most part of their time and are refused then.
+   * <p>Work of higher priority that arrives later is placed first, and estimates are rough. Without
+   * a margin, callers wait for most of their time and are then refused.
    */
   private static final double NEW_WORK_WAIT_FACTOR = 2.5;
 
-  /** The share of its slack that work may wait to be handled by this host. */
+  /** The share of its slack that work may wait until this host handles its submission. */
   private static final double MAX_WAIT_SLACK_SHARE = 0.5;
 
-  /** Waits up to this occur on hosts that aren't overloaded, in milliseconds. */
+  /**
+   * Lower bound of the limit on this wait, in milliseconds: such waits also occur on hosts that
+   * aren't overloaded.
+   */
   private static final long MIN_WAIT_LIMIT_MILLIS = 50;
 
   /**
-   * Work that waited longer isn't taken up, in milliseconds: its entry host may have turned to
-   * another dispatcher meanwhile, or may be gone.
+   * Upper bound of the limit on this wait, in milliseconds: after a longer one, the entry host may
+   * have switched to another dispatcher or may be gone.
    */
   static final long MAX_WAIT_MILLIS = 250;
 
   /**
    * Returns the work in the order in which its tasks are placed.
    *
-   * <p>What can still be answered promptly goes first, then the queue's priority counts, then the
-   * latest start. Under more load than fits, kinds with little slack would otherwise wait behind
-   * those with much.
+   * <p>Work that can still be answered promptly comes first, then the queue's priority counts, then
+   * the latest start. When the load exceeds the capacity, kinds with little slack would otherwise
+   * wait behind those with much.
    */
   List<WorkState> order(Collection<WorkState> works, long now) {
     List<WorkState> ordered = new ArrayList<>(works);
@@ -57,36 +63,38 @@
   }
 
   /**
-   * Returns whether work that hasn't started can't be answered promptly any more, unless all of it
-   * finds room now.
+   * Returns whether work that hasn't started can no longer be answered promptly, unless all of it
+   * can start now.
    *
-   * <p>Work that is wide against the room can't start as a whole even on idle upstreams. It is
-   * given the time that its tasks take in waves on a part of the room.
+   * <p>Work that is wide relative to the capacity can't start as a whole even on idle upstreams.
+   * Its latest start is extended by the time that its tasks take in waves on a part of the
+   * capacity.
    *
-   * @param ahead the work that goes first
+   * @param ahead the backlog of the work that is placed before this work
    */
   boolean missesTarget(WorkState work, long now, Backlog ahead) {
-    double own = ahead.processingMillis(work);
-    double waves = Math.max(0, own / CAPACITY_SHARE_PER_WORK - work.criticalPathMillis());
-    double latestStart = work.latestStartAt() + work.request.stretch() * waves;
-    double wait = ahead.waitMillis() + own;
-    boolean early =
+    double ownMillis = ahead.processingMillis(work);
+    double wavesMillis =
+        Math.max(0, ownMillis / CAPACITY_SHARE_PER_WORK - work.criticalPathMillis());
+    double latestStartAt = work.latestStartAt() + work.request.stretch() * wavesMillis;
+    double waitMillis = ahead.waitMillis() + ownMillis;
+    boolean newlyArrived =
         now - work.arrivedAt <= NEW_WORK_SHARE * (work.promptAnswerDeadline() - work.arrivedAt);
-    return now + (early ? NEW_WORK_WAIT_FACTOR * wait : wait) > latestStart;
+    return now + (newlyArrived ? NEW_WORK_WAIT_FACTOR * waitMillis : waitMillis) > latestStartAt;
   }
 
   /**
-   * Returns whether work waited too long to be handled here.
+   * Returns whether work waited too long for this host to handle its submission.
    *
-   * <p>A host that gets more than its processor takes serves nobody in time if it takes up
-   * everything. What is refused at once costs little, so the rest doesn't wait long.
+   * <p>An overloaded host that accepts all work answers none of it in time. An immediate refusal
+   * costs little and keeps the wait of the remaining work short.
    */
   boolean waitedTooLong(WorkState work, long waitedMillis) {
-    double share = MAX_WAIT_SLACK_SHARE * (work.latestStartAt() - work.arrivedAt);
-    return waitedMillis > Math.clamp(share, MIN_WAIT_LIMIT_MILLIS, MAX_WAIT_MILLIS);
+    double limitMillis = MAX_WAIT_SLACK_SHARE * (work.latestStartAt() - work.arrivedAt);
+    return waitedMillis > Math.clamp(limitMillis, MIN_WAIT_LIMIT_MILLIS, MAX_WAIT_MILLIS);
   }
 
-  /** Returns whether waiting work can't be answered before its caller leaves. */
+  /** Returns whether waiting work can't complete before its caller's timeout. */
   boolean exceedsTimeout(WorkState work, long now) {
     return now + work.criticalPathMillis() > work.expiresAt();
   }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/lease/Backlog.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/lease/Backlog.java
@@ -2,56 +2,65 @@
 
 import java.util.List;
 
-/** The tasks that wait, in the order in which they are placed, and how long they will take. */
+/**
+ * Sums up waiting tasks in the order of their placement and estimates how long the upstreams take
+ * to run them.
+ */
 final class Backlog {
 
   /**
    * The share of the upstreams' processors that tasks use while others wait. Two or three tasks
-   * fill an upstream, so a part of each stays unused.
+   * fill an upstream, so a part of each upstream stays unused.
    */
   private static final double USABLE_CPU_SHARE = 0.7;
 
   private final double usableMillicores;
   private double waitingMillicoreMillis;
 
-  /** Creates an empty backlog of the given upstreams. */
-  Backlog(List<UpstreamLease> open) {
+  /** Creates an empty backlog for the given upstreams. */
+  Backlog(List<UpstreamLease> upstreams) {
     long sum = 0;
-    for (UpstreamLease upstream : open) {
+    for (UpstreamLease upstream : upstreams) {
       sum += upstream.announcement.capacity().cpuMillicores();
     }
     usableMillicores = sum * USABLE_CPU_SHARE;
   }
 
-  /** Adds the tasks of a piece of work that wait. */
+  /** Adds the waiting tasks of a piece of work. */
   void add(WorkState work) {
     waitingMillicoreMillis += waitingMillicoreMillisOf(work);
   }
 
-  /** Returns for how long the upstreams are busy with all this, in milliseconds. */
+  /** Returns how long the upstreams take to run the whole backlog, in milliseconds. */
   double waitMillis() {
     return toMillis(waitingMillicoreMillis);
   }
 
-  /** Returns for how long the upstreams would be busy with just this work, in milliseconds. */
+  /**
+   * Returns how long the upstreams would take to run the waiting tasks of this work alone, in
+   * milliseconds.
+   */
   double processingMillis(WorkState work) {
     return toMillis(waitingMillicoreMillisOf(work));
   }
 
-  /** Without any upstream nothing can be said; the work then waits until it is late by itself. */
-  private double toMillis(double work) {
-    return usableMillicores == 0 ? 0 : work / usableMillicores;
+  /**
+   * Returns the time that the upstreams take for a demand, in milliseconds; 0 without any upstream,
+   * since there is nothing to estimate from. The work then waits until it expires.
+   */
+  private double toMillis(double demand) {
+    return usableMillicores == 0 ? 0 : demand / usableMillicores;
   }
 
   private static double waitingMillicoreMillisOf(WorkState work) {
-    double sum = 0;
+    double demand = 0;
     for (List<TaskState> tasks : work.steps) {
       for (TaskState task : tasks) {
         if (task.isWaiting()) {
-          sum += (double) task.step.size().cpuMillicores() * task.step.estimateMillis();
+          demand += (double) task.step.size().cpuMillicores() * task.step.estimateMillis();
         }
       }
     }
-    return sum;
+    return demand;
   }
 }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/lease/DispatchContext.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/lease/DispatchContext.java
@@ -3,7 +3,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What the parts of a dispatcher share while an event is handled: time, token and effects. */
+/**
+ * Holds the state that the parts of a dispatcher share while an event is handled: the time, the
+ * fencing token and the effects.
+ */
 final class DispatchContext {
 
   private List<LeaseEffect> effects = new ArrayList<>();
@@ -12,48 +15,47 @@
   private long token;
   private long lastSequence;
 
-  /** Returns the time in milliseconds. */
+  /** Returns the time of handling, in milliseconds. */
   long now() {
     return now;
   }
 
   /**
-   * Returns when what is handled arrived at this host, in milliseconds.
+   * Returns when the current event arrived at this host, in milliseconds.
    *
-   * <p>Where the host is behind with its work, this shows how old a message is, and {@link #now}
-   * doesn't.
+   * <p>On an overloaded host, this shows how old a message is, while {@link #now} doesn't.
    */
   long arrivedAt() {
     return arrivedAt;
   }
 
-  /** Returns for how long what is handled has waited here, in milliseconds. */
+  /** Returns how long the current event has waited on this host, in milliseconds. */
   long waitedMillis() {
     return now - arrivedAt;
   }
 
-  /** Lets time pass; it never goes back. */
+  /** Advances the time, which never goes back, and resets the arrival time to it. */
   void advanceTo(long time) {
     now = Math.max(now, time);
     arrivedAt = now;
   }
 
-  /** Notes that what is handled arrived earlier. */
+  /** Sets the time at which the current event arrived, in milliseconds. */
   void setArrivedAt(long time) {
     arrivedAt = Math.min(now, time);
   }
 
   /**
-   * Returns the next number of the order in which this host does and learns things; from 1.
+   * Returns the next sequence number, from 1, which orders the events and orders of this host.
    *
-   * <p>The clock can't tell which of two events in one millisecond came first.
+   * <p>The clock can't order two events within one millisecond.
    */
   long nextSequence() {
     lastSequence++;
     return lastSequence;
   }
 
-  /** Returns the fencing token of the role; 0 without it. */
+  /** Returns the fencing token of the role; 0 without the role. */
   long token() {
     return token;
   }
@@ -70,7 +72,7 @@
     effects.add(effect);
   }
 
-  /** Notes a decision for the log; {@code fields} are key=value pairs. */
+  /** Emits a log line for a decision; {@code fields} are key=value pairs. */
   void logEvent(String event, String fields) {
     emit(new LeaseEffect.LogEvent(event, fields));
   }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/lease/LeaseDispatcher.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/lease/LeaseDispatcher.java
@@ -6,24 +6,24 @@
 import org.burdockbay.core.fleet.UpstreamAnnouncement;
 
 /**
- * Dispatches sized tasks to leased upstreams, while this host has the role.
+ * Dispatches sized tasks to leased upstreams while this host has the role.
  *
- * <p>Feed it events with the time in milliseconds and carry out the effects in order. Work that an
- * entry host submits is answered by exactly one {@link LeaseEffect.Report} for each entry host that
- * waits, unless the role or the entry host is lost.
+ * <p>Callers pass events with the time in milliseconds and carry out the returned effects in order.
+ * Each entry host that waits for a piece of work gets exactly one {@link LeaseEffect.Report},
+ * unless the role or the entry host is lost.
  *
- * <p>In a divided fleet it keeps leases on the upstreams of its shard only, and knows all others: a
- * task that none of them can run is refused as impossible.
+ * <p>In a fleet that is divided into shards, it keeps leases only on the upstreams of its shard,
+ * but records all others: a task that no upstream of the fleet can run is refused as impossible.
  *
  * <p>No two runs of a task overlap: a task starts only when every earlier run of it that this
- * dispatcher knows of is over, and an earlier dispatcher's runs are over when the work's quiet time
- * is. Not safe for use by several threads.
+ * dispatcher has recorded is over; runs of an earlier dispatcher are over when the work's quiet
+ * period ends. Not thread-safe.
  */
 public final class LeaseDispatcher {
 
   /**
-   * A gap between two events that shows that the process stood still, in milliseconds. A heartbeat
-   * of 150 ms and this are less than the 450 ms after which hosts count as lost.
+   * A gap between two events that indicates a pause of the process, in milliseconds. Together with
+   * a heartbeat interval of 150 ms it stays below the 450 ms after which hosts are considered lost.
    */
   private static final long PAUSE_THRESHOLD_MILLIS = 250;
 
@@ -36,31 +36,35 @@
   private final WorkTable works;
   private final LeaseTable leases;
 
-  /** Whether something has happened since the last round of placements. */
+  /** Whether an event since the last placement round may allow tasks to start. */
   private boolean placementNeeded;
 
   /**
    * Creates a dispatcher without the role.
    *
    * @param self the id of this host
+   * @param timing the durations of leases and orders
    */
-  public LeaseDispatcher(String self, LeaseTiming terms) {
-    this.runs = new RunTable(context, terms);
+  public LeaseDispatcher(String self, LeaseTiming timing) {
+    this.runs = new RunTable(context, timing);
     this.works = new WorkTable(self, context, runs, admission);
-    this.leases = new LeaseTable(context, terms, runs, works);
+    this.leases = new LeaseTable(context, timing, runs, works);
   }
 
-  /** Handles an event and returns what is to be done; {@link #place} starts what can start. */
+  /**
+   * Handles an event and returns the effects to carry out; {@link #place} starts the tasks that can
+   * start.
+   */
   public List<LeaseEffect> handle(LeaseEvent event, long time) {
     return handle(event, time, time);
   }
 
   /**
-   * Handles an event that has waited.
+   * Handles an event that may have waited in a queue.
    *
-   * @param arrivedAt when it reached this host, in milliseconds
-   * @param time the time of handling; a gap between two events shows that the process stood still,
-   *     so ticks have to be handled in time, however many events wait
+   * @param arrivedAt when the event reached this host, in milliseconds
+   * @param time the time of handling, in milliseconds; a gap between two events indicates a pause
+   *     of the process, so ticks have to be handled on time, however many events wait
    */
   public List<LeaseEffect> handle(LeaseEvent event, long arrivedAt, long time) {
     observeTime(time);
@@ -70,10 +74,11 @@
   }
 
   /**
-   * Starts the tasks that can start now; call it once a number of events have been handled.
+   * Starts the tasks that can start now; call it after a batch of events.
    *
-   * <p>A round looks at all waiting work. One for each event costs most when the most events come:
-   * an overloaded host falls behind, its heartbeats come late, and others take its role.
+   * <p>A placement round examines all waiting work, so one round for each event would cost most
+   * under the highest load: an overloaded host would fall behind, its heartbeats would be late, and
+   * others would take over its role.
    */
   public List<LeaseEffect> place(long time) {
     observeTime(time);
@@ -94,13 +99,13 @@
     return works.unansweredWork().size();
   }
 
-  /** Returns how much room the upstreams have on which tasks may start now. */
+  /** Returns the free capacity of the upstreams on which tasks may start now, and the backlog. */
   public DomainLoad load() {
-    List<UpstreamLease> open = leases.usableUpstreams();
-    Backlog backlog = new Backlog(open);
+    List<UpstreamLease> usableUpstreams = leases.usableUpstreams();
+    Backlog backlog = new Backlog(usableUpstreams);
     works.unansweredWork().forEach(backlog::add);
     int freeCores =
-        open.stream()
+        usableUpstreams.stream()
             .mapToInt(upstream -> Math.max(0, upstream.freeCapacity().cpuMillicores()) / MILLICORES)
             .sum();
     return new DomainLoad(freeCores, Math.round(backlog.waitMillis()));
@@ -124,9 +129,9 @@
         leases.shardsChanged(changed.ownShard(), changed.liveShards());
         placementNeeded = true;
       }
-      case LeaseEvent.ProcessPaused suspended -> {
+      case LeaseEvent.ProcessPaused paused -> {
         if (context.isDispatching()) {
-          releaseRoleAfterPause(suspended.pausedMillis());
+          releaseRoleAfterPause(paused.pausedMillis());
         }
       }
       default -> {
@@ -142,7 +147,8 @@
     switch (event) {
       case LeaseEvent.Submitted submitted -> workSubmitted(submitted);
       case LeaseEvent.Cancelled cancelled -> workCancelled(cancelled);
-      case LeaseEvent.EntryHostMessageReceived heard -> works.recordContact(heard.entryHost());
+      case LeaseEvent.EntryHostMessageReceived contacted ->
+          works.recordContact(contacted.entryHost());
       case LeaseEvent.EntryHostLost lost -> works.entryHostLost(lost.entryHost());
       case LeaseEvent.StartAnswered answered ->
           handleAnswer(
@@ -154,7 +160,8 @@
           handleAnswer(
               answered.upstream(), answered.clockMillis(), () -> leases.renewalAnswered(answered));
       case LeaseEvent.Tick tick -> tick();
-      default -> throw new IllegalStateException("handled before: " + event);
+      default ->
+          throw new IllegalStateException("unexpected event in the dispatcher role: " + event);
     }
   }
 
@@ -171,12 +178,13 @@
   }
 
   /**
-   * Returns whether a message was meant for the role as this host holds it now.
+   * Returns whether a message was sent to the role that this host holds now.
    *
-   * <p>A host may lose the role and claim it again within a millisecond. A submission that was sent
-   * before knows of no earlier dispatcher whose runs may go on; taken up, it would start tasks that
-   * run already. The entry host submits again as soon as it hears of the new token, and its
-   * cancellation of the earlier submission must not meet the new one.
+   * <p>A host may lose the role and claim it again within a millisecond. A submission sent before
+   * that doesn't take into account an earlier dispatcher whose runs may go on; accepting it would
+   * start tasks that are already running. The entry host submits the work again as soon as it
+   * discovers the new token, and its cancellation of the earlier submission must not affect the new
+   * one.
    */
   private boolean hasCurrentToken(long token, String workId) {
     if (token != context.token()) {
@@ -187,15 +195,17 @@
   }
 
   /**
-   * Handles an answer of an upstream unless it shows that this host stood still together with its
-   * clock, as a suspended machine does. No event comes late by that clock then; but a start needs a
-   * fresh reading of the upstream's clock, and the first one gives the standstill away.
+   * Handles an answer of an upstream, unless it shows that this host was paused together with its
+   * clock, as a suspended machine is.
+   *
+   * <p>By that clock no event is late. But a start needs a fresh reading of the upstream's clock,
+   * and the first reading reveals the pause.
    */
   private void handleAnswer(
       UpstreamAnnouncement upstream, OptionalLong clockMillis, Runnable handler) {
-    long standstill = leases.localPauseMillis(upstream, clockMillis);
-    if (standstill > PAUSE_THRESHOLD_MILLIS) {
-      releaseRoleAfterPause(standstill);
+    long pauseMillis = leases.localPauseMillis(upstream, clockMillis);
+    if (pauseMillis > PAUSE_THRESHOLD_MILLIS) {
+      releaseRoleAfterPause(pauseMillis);
     } else {
       handler.run();
     }
@@ -216,12 +226,13 @@
   }
 
   /**
-   * Gives the role up after a stall.
+   * Gives up the role after a pause of this process.
    *
-   * <p>A frozen process that goes on finds messages that were sent long ago, takes them for fresh,
-   * and would start work that its entry hosts have given to another dispatcher meanwhile. Up to
-   * {@link #PAUSE_THRESHOLD_MILLIS} no entry host has turned away yet, since a heartbeat that was
-   * due during the stall is missing for less than the time after which hosts count as lost.
+   * <p>A process that resumes finds messages that were sent long ago, treats them as fresh, and
+   * would start work that its entry hosts have passed to another dispatcher in the meantime. After
+   * a pause of up to {@link #PAUSE_THRESHOLD_MILLIS} no entry host has switched yet, since a
+   * heartbeat that was due during the pause is missing for less than the time after which hosts are
+   * considered lost.
    */
   private void releaseRoleAfterPause(long millis) {
     context.logEvent("stalled", "millis=" + millis);
@@ -229,7 +240,7 @@
     roleLost();
   }
 
-  /** Forgets everything but the upstreams: what runs goes on until its lease is over. */
+  /** Discards all state but the upstreams: runs go on until their lease is over. */
   private void roleLost() {
     if (!context.isDispatching()) {
       return;
@@ -241,20 +252,23 @@
     leases.releaseLeases();
   }
 
-  /** Places waiting tasks, in the order that the {@link AdmissionRule} gives. */
+  /**
+   * Places waiting tasks in the order given by {@link AdmissionRule}, and refuses work that can no
+   * longer be answered in time.
+   */
   private void placeWaitingTasks() {
     if (works.unansweredWork().isEmpty()) {
       return;
     }
-    List<UpstreamLease> open = leases.usableUpstreams();
-    PlacementPolicy placement = new PlacementPolicy(open, context.now());
-    Backlog backlog = new Backlog(open);
-    boolean allHeard = leases.allAnswered();
+    List<UpstreamLease> usableUpstreams = leases.usableUpstreams();
+    PlacementPolicy placement = new PlacementPolicy(usableUpstreams, context.now());
+    Backlog backlog = new Backlog(usableUpstreams);
+    boolean allAnswered = leases.allAnswered();
     for (WorkState work : admission.order(works.unansweredWork(), context.now())) {
       if (context.now() < work.quietPeriodEndsAt) {
         continue;
       }
-      if (allHeard && !work.mayHaveStarted && cannotStartInTime(work, backlog, placement)) {
+      if (allAnswered && !work.mayHaveStarted && cannotStartInTime(work, backlog, placement)) {
         works.refuse(work, "no room in time", AdmissionRule.RETRY_AFTER_MILLIS);
       } else {
         placeWork(work, placement);
@@ -263,7 +277,10 @@
     }
   }
 
-  /** Returns whether work can't have all its tasks started in time behind what goes first. */
+  /**
+   * Returns whether work can't start all its tasks in time behind the work that is placed before
+   * it.
+   */
   private boolean cannotStartInTime(WorkState work, Backlog backlog, PlacementPolicy placement) {
     return admission.missesTarget(work, context.now(), backlog) && !placement.fitsCompletely(work);
   }
@@ -276,7 +293,10 @@
     }
   }
 
-  /** Starts what fits; the tasks of a step are alike, so none fits after one that doesn't. */
+  /**
+   * Starts as many tasks of a step as fit. The tasks of a step are alike, so once one doesn't fit,
+   * none of the following does.
+   */
   private void placeTasks(Iterable<TaskState> tasks, PlacementPolicy placement) {
     for (TaskState task : tasks) {
       if (task.isWaiting() && !runs.hasOpenRun(task.id)) {
--- a/burdockbay-core/src/main/java/org/burdockbay/core/lease/LeaseEffect.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/lease/LeaseEffect.java
@@ -4,7 +4,7 @@
 import org.burdockbay.core.work.RunId;
 import org.burdockbay.core.work.WorkOutcome;
 
-/** What a {@link LeaseDispatcher} wants done. */
+/** An action that a {@link LeaseDispatcher} requests from its host. */
 public sealed interface LeaseEffect {
 
   /**
@@ -20,13 +20,15 @@
   record Stop(UpstreamAnnouncement upstream, RunId run, long token) implements LeaseEffect {}
 
   /**
-   * Renews the lease, acknowledges ends and reads the lists.
+   * Renews the lease of an upstream, acknowledges ends of runs and requests the lists of runs and
+   * ends.
    *
-   * @param renewalNumber number of this call, for its answer
-   * @param acknowledgedEnd the last end that is dealt with
-   * @param deadlineMillis end of the lease on the upstream's clock; 0 to leave it as it is
-   * @param waitMillis how long the upstream may wait for an end before it answers
-   * @param answerTimeoutMillis silence beyond the wait after which the renewal counts as missed
+   * @param renewalNumber number of this call, repeated in its answer
+   * @param acknowledgedEnd number of the last end of a run that has been processed
+   * @param deadlineMillis end of the lease on the upstream's clock; 0 to leave it unchanged
+   * @param waitMillis how long the upstream may wait for the end of a run before it answers
+   * @param answerTimeoutMillis silence beyond that wait after which the renewal counts as
+   *     unanswered
    */
   record Renew(
       UpstreamAnnouncement upstream,
@@ -38,19 +40,20 @@
       long answerTimeoutMillis)
       implements LeaseEffect {}
 
-  /** Tells an entry host the outcome of its work. */
+  /** Reports the outcome of work to an entry host. */
   record Report(String entryHost, String workId, WorkOutcome outcome) implements LeaseEffect {}
 
   /**
-   * An upstream goes on refusing this host's token, as it has seen a higher one.
+   * Signals that an upstream keeps refusing this host's token because it has seen a higher one.
    *
-   * @param acceptedBefore whether it has obeyed this token, so that the higher one is newer
+   * @param acceptedBefore whether the upstream has accepted this token before, so that the higher
+   *     one is newer
    */
   record Superseded(long token, boolean acceptedBefore) implements LeaseEffect {}
 
-  /** This host stood still and has given the role up. */
+  /** Signals that this host was paused and has given up the role. */
   record RoleReleased() implements LeaseEffect {}
 
-  /** A decision for the log; {@code fields} are key=value pairs. */
+  /** Logs a decision; {@code fields} are key=value pairs. */
   record LogEvent(String event, String fields) implements LeaseEffect {}
 }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/lease/LeaseEvent.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/lease/LeaseEvent.java
@@ -8,19 +8,19 @@
 import org.burdockbay.core.work.RunId;
 import org.burdockbay.core.work.WorkRequest;
 
-/** What happens to a {@link LeaseDispatcher}. */
+/** An event that a {@link LeaseDispatcher} handles. */
 public sealed interface LeaseEvent {
 
-  /** This host dispatches from now on, with a token above all earlier ones. */
+  /** This host has become the dispatcher, with a token above all earlier ones. */
   record RoleGained(long token) implements LeaseEvent {}
 
-  /** Another host dispatches from now on. */
+  /** Another host has become the dispatcher. */
   record RoleLost() implements LeaseEvent {}
 
   /**
-   * The shard of this host, or the shards that divide the fleet, have changed.
+   * The shard of this host, or the set of shards that divide the fleet, has changed.
    *
-   * @param ownShard the shard that this host dispatches, or would
+   * @param ownShard the shard that this host dispatches, or would dispatch with the role
    * @param liveShards the shards that have a dispatcher
    */
   record ShardsChanged(ShardId ownShard, Set<ShardId> liveShards) implements LeaseEvent {
@@ -32,13 +32,12 @@
   }
 
   /**
-   * An entry host has work; it repeats this until it gets the outcome.
+   * An entry host has submitted work; it repeats the submission until it gets the outcome.
    *
-   * @param token the token under which the entry host takes this host for the dispatcher
+   * @param token the token under which the entry host regards this host as the dispatcher
    * @param ticket the entry host's number for the request; the same in each repetition
-   * @param ageMillis how long ago the caller's request arrived
-   * @param quietPeriodMillis for how long no task may start, as an earlier dispatcher may still run
-   *     some
+   * @param ageMillis time since the caller's request arrived
+   * @param quietPeriodMillis how long no task may start, as runs of an earlier dispatcher may go on
    */
   record Submitted(
       String entryHost,
@@ -50,35 +49,41 @@
       implements LeaseEvent {}
 
   /**
-   * An entry host's caller no longer waits.
+   * The caller of an entry host no longer waits for its work.
    *
-   * @param token the token under which the entry host takes this host for the dispatcher
+   * @param token the token under which the entry host regards this host as the dispatcher
    */
   record Cancelled(String entryHost, long token, String workId) implements LeaseEvent {}
 
-  /** A heartbeat of an entry host arrived. */
+  /** A heartbeat of an entry host has arrived. */
   record EntryHostMessageReceived(String entryHost) implements LeaseEvent {}
 
-  /** An entry host is lost, so its callers' connections are too. */
+  /** An entry host is considered lost, and with it its callers' connections. */
   record EntryHostLost(String entryHost) implements LeaseEvent {}
 
-  /** An upstream announced itself. */
+  /** An upstream has announced itself. */
   record Announced(UpstreamAnnouncement announcement) implements LeaseEvent {}
 
-  /** An upstream has left, or wasn't heard of for long. */
+  /** An upstream has left, or no message of it has arrived for a long time. */
   record Departed(UpstreamAnnouncement announcement) implements LeaseEvent {}
 
-  /** A start was answered. */
+  /** An upstream has answered a start, or no answer arrived. */
   record StartAnswered(
       UpstreamAnnouncement upstream, RunId run, OrderResult result, OptionalLong clockMillis)
       implements LeaseEvent {}
 
-  /** A stop was answered. */
+  /** An upstream has answered a stop, or no answer arrived. */
   record StopAnswered(
       UpstreamAnnouncement upstream, RunId run, OrderResult result, OptionalLong clockMillis)
       implements LeaseEvent {}
 
-  /** A renewal was answered; the lists are empty unless the result is {@link OrderResult#DONE}. */
+  /**
+   * An upstream has answered a renewal, or no answer arrived; the lists are empty unless the result
+   * is {@link OrderResult#DONE}.
+   *
+   * @param running the runs that are under way on the upstream
+   * @param ended the ends of runs that aren't acknowledged yet
+   */
   record RenewalAnswered(
       UpstreamAnnouncement upstream,
       long renewalNumber,
@@ -95,9 +100,9 @@
     }
   }
 
-  /** The machine was suspended, which its steady clock doesn't show. */
+  /** The machine was suspended, which its monotonic clock doesn't show. */
   record ProcessPaused(long pausedMillis) implements LeaseEvent {}
 
-  /** Time passes; at least every 100 ms. */
+  /** Time has passed; occurs at least every 100 ms. */
   record Tick() implements LeaseEvent {}
 }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/lease/LeaseTable.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/lease/LeaseTable.java
@@ -15,36 +15,39 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The upstreams, the leases that are kept there, and what they tell of their runs.
+ * Keeps the upstreams and their leases, and handles their answers.
  *
- * <p>Leases are kept on the upstreams of this host's shard. On one that leaves it nothing starts
- * and no lease is made longer, and its runs are over when they end or their lease does. No two
- * hosts need to agree on whose an upstream is: it obeys the highest token, and whoever holds that
- * one makes no lease longer while runs that it doesn't know are there.
+ * <p>Leases are renewed on the upstreams of this host's shard. On an upstream that leaves the
+ * shard, no task starts and the lease isn't extended; its runs are over when they end or when the
+ * lease does. Hosts don't need to agree on the owner of an upstream: the upstream accepts only the
+ * highest token, and the holder of that token doesn't extend the lease while runs unknown to it are
+ * there.
  */
 final class LeaseTable {
 
   /**
-   * An upstream that has seen a higher token is asked again after this, in milliseconds: longer
-   * than a lease, so that a dispatcher that is gone doesn't hold it any more.
+   * Interval after which an upstream that has seen a higher token is renewed again, in
+   * milliseconds. It is longer than a lease, so that a dispatcher that is gone no longer holds the
+   * upstream.
    */
   private static final long FENCED_RETRY_INTERVAL_MILLIS = 1_200;
 
   /**
-   * After so many refusals in a row this host asks for a higher token: 2.4 s, in which a live
-   * dispatcher that holds the higher one would have been heard if it can be heard at all.
+   * Number of refusals in a row after which this host requests a higher token. They take 2.4 s; a
+   * live dispatcher with the higher token would have been in contact by then if it is reachable at
+   * all.
    */
   private static final int MAX_CONSECUTIVE_REFUSALS = 3;
 
   /**
-   * Silence of an upstream after which its lease isn't extended any more, in milliseconds: a poll
-   * and its answer, so that one of them may be lost.
+   * Silence of an upstream after which its lease isn't extended, in milliseconds: a poll and its
+   * answer, so that one of them may be lost.
    */
   private static final long EXTENSION_SILENCE_TIMEOUT_MILLIS = 450;
 
   /**
-   * So many renewals in a row get a short time for their answer, as single calls are lost; the
-   * first one of all, which connects, does not.
+   * Number of renewals in a row that have a short timeout, as single calls are lost. The first
+   * renewal of all, which opens the connection, has the long timeout.
    */
   static final int MAX_SHORT_TIMEOUT_RENEWALS = 2;
 
@@ -57,9 +60,9 @@
   private ShardMap shards = ShardMap.of(Set.of(ShardId.WHOLE_FLEET));
   private long lastRenewalNumber;
 
-  LeaseTable(DispatchContext context, LeaseTiming terms, RunTable runs, WorkTable works) {
+  LeaseTable(DispatchContext context, LeaseTiming timing, RunTable runs, WorkTable works) {
     this.context = context;
-    this.timing = terms;
+    this.timing = timing;
     this.runs = runs;
     this.works = works;
   }
@@ -80,7 +83,10 @@
     return upstreams.values().stream().filter(upstream -> upstream.inOwnShard).toList();
   }
 
-  /** Returns whether each upstream that may be alive has answered under the present token. */
+  /**
+   * Returns whether every upstream of the shard that may be alive has answered a renewal under the
+   * current token.
+   */
   boolean allAnswered() {
     return upstreams.values().stream()
         .noneMatch(
@@ -88,19 +94,19 @@
                 upstream.inOwnShard && !upstream.tokenAccepted && upstream.unansweredRenewals == 0);
   }
 
-  /** Takes every upstream of the shard over under a new token. */
+  /** Takes over every upstream of the shard under a new token. */
   void takeOver() {
     ownUpstreams().forEach(upstream -> renew(upstream, false));
   }
 
-  /** Forgets the leases, and keeps the upstreams. */
+  /** Discards the leases and keeps the upstreams. */
   void releaseLeases() {
     upstreams.replaceAll((id, upstream) -> createLease(upstream.announcement));
   }
 
-  /** Takes the upstreams over that come into the shard, and lets go of those that leave it. */
-  void shardsChanged(ShardId own, Set<ShardId> live) {
-    Set<ShardId> all = new HashSet<>(live);
+  /** Takes over the upstreams that join the shard and gives up those that leave it. */
+  void shardsChanged(ShardId own, Set<ShardId> liveShards) {
+    Set<ShardId> all = new HashSet<>(liveShards);
     all.add(own);
     ownShard = own;
     shards = ShardMap.of(all);
@@ -108,82 +114,86 @@
   }
 
   private void updateShardMembership(UpstreamLease upstream) {
-    boolean inScope = belongsToOwnShard(upstream.announcement);
-    if (inScope == upstream.inOwnShard) {
+    boolean inOwnShard = belongsToOwnShard(upstream.announcement);
+    if (inOwnShard == upstream.inOwnShard) {
       return;
     }
-    upstream.inOwnShard = inScope;
+    upstream.inOwnShard = inOwnShard;
     upstream.consecutiveRefusals = 0;
     if (context.isDispatching()) {
       context.logEvent(
-          inScope ? "upstream-gained" : "upstream-given",
+          inOwnShard ? "upstream-gained" : "upstream-given",
           "upstream=" + upstream.announcement.id() + " runs=" + upstream.runs.size());
     }
-    if (inScope && context.isDispatching()) {
-      // Another dispatcher may have had it meanwhile.
+    if (inOwnShard && context.isDispatching()) {
+      // Another dispatcher may have held the upstream in the meantime.
       upstream.tokenAccepted = false;
       renew(upstream, false);
     }
   }
 
-  private boolean belongsToOwnShard(UpstreamAnnouncement notice) {
-    return shards.owner(notice.id(), notice.domain()).filter(ownShard::equals).isPresent();
+  private boolean belongsToOwnShard(UpstreamAnnouncement announcement) {
+    return shards
+        .owner(announcement.id(), announcement.domain())
+        .filter(ownShard::equals)
+        .isPresent();
   }
 
-  private UpstreamLease createLease(UpstreamAnnouncement notice) {
-    return new UpstreamLease(notice, belongsToOwnShard(notice));
+  private UpstreamLease createLease(UpstreamAnnouncement announcement) {
+    return new UpstreamLease(announcement, belongsToOwnShard(announcement));
   }
 
-  void upstreamAnnounced(UpstreamAnnouncement notice) {
-    UpstreamLease known = upstreams.get(notice.id());
-    if (known != null && known.announcement.isSameInstance(notice)) {
-      if (known.announcement.leaving() != notice.leaving()) {
+  void upstreamAnnounced(UpstreamAnnouncement announcement) {
+    UpstreamLease known = upstreams.get(announcement.id());
+    if (known != null && known.announcement.isSameInstance(announcement)) {
+      if (known.announcement.leaving() != announcement.leaving()) {
         context.logEvent(
-            "upstream-leaving", "upstream=" + notice.id() + " runs=" + known.runs.size());
+            "upstream-leaving", "upstream=" + announcement.id() + " runs=" + known.runs.size());
       }
-      known.announcement = notice;
+      known.announcement = announcement;
       return;
     }
     if (known != null) {
-      if (known.announcement.startedAt() > notice.startedAt()) {
+      if (known.announcement.startedAt() > announcement.startedAt()) {
         return;
       }
       instanceGone(known, "reborn");
     }
-    UpstreamLease upstream = createLease(notice);
-    upstreams.put(notice.id(), upstream);
-    context.logEvent("upstream-found", "upstream=" + notice.id() + " address=" + notice.address());
+    UpstreamLease upstream = createLease(announcement);
+    upstreams.put(announcement.id(), upstream);
+    context.logEvent(
+        "upstream-found", "upstream=" + announcement.id() + " address=" + announcement.address());
     if (context.isDispatching() && upstream.inOwnShard) {
       renew(upstream, false);
     }
   }
 
-  void upstreamDeparted(UpstreamAnnouncement notice) {
-    UpstreamLease known = upstreams.get(notice.id());
-    if (known == null || !known.announcement.isSameInstance(notice)) {
+  void upstreamDeparted(UpstreamAnnouncement announcement) {
+    UpstreamLease known = upstreams.get(announcement.id());
+    if (known == null || !known.announcement.isSameInstance(announcement)) {
       return;
     }
-    // What it ran may go on until the lease is over, although it said that it has left.
+    // Its runs may go on until the lease is over, although it has announced its departure.
     known.announcement = asLeaving(known.announcement);
     if (known.runs.isEmpty() && !runs.hasUnclaimedRuns(known)) {
-      upstreams.remove(notice.id());
-      context.logEvent("upstream-left", "upstream=" + notice.id());
+      upstreams.remove(announcement.id());
+      context.logEvent("upstream-left", "upstream=" + announcement.id());
     } else {
       known.unansweredRenewals = Math.max(1, known.unansweredRenewals);
     }
   }
 
-  private static UpstreamAnnouncement asLeaving(UpstreamAnnouncement notice) {
+  private static UpstreamAnnouncement asLeaving(UpstreamAnnouncement announcement) {
     return new UpstreamAnnouncement(
-        notice.id(),
-        notice.startedAt(),
-        notice.sequence(),
-        notice.service(),
-        notice.address(),
-        notice.domain(),
+        announcement.id(),
+        announcement.startedAt(),
+        announcement.sequence(),
+        announcement.service(),
+        announcement.address(),
+        announcement.domain(),
         true,
-        notice.capacity(),
-        notice.labels());
+        announcement.capacity(),
+        announcement.labels());
   }
 
   void startAnswered(LeaseEvent.StartAnswered answered) {
@@ -198,7 +208,7 @@
       return;
     }
     if (run == null || run.startsSent == 0) {
-      // The order of an earlier role of this host; its run may have been adopted since.
+      // The order was sent under an earlier role of this host; its run may have been adopted since.
       return;
     }
     run.unansweredStarts--;
@@ -210,7 +220,7 @@
         if (run.startsSent == 1) {
           runs.recordAnswerTime(context.now() - run.lastStartSentAt);
         }
-        // A run that is being stopped is confirmed by the answer to the stop only.
+        // Only the answer to the stop confirms a run that is being stopped.
         if (run.phase != LeasedRun.Phase.STOPPING) {
           run.confirmedSequence = context.nextSequence();
           run.phase = LeasedRun.Phase.RUNNING;
@@ -234,7 +244,8 @@
             "start-invalid", "run=" + run.id + " upstream=" + upstream.announcement.id());
         runFailed(run);
       }
-      default -> throw new IllegalStateException("handled before: " + answered.result());
+      default ->
+          throw new IllegalStateException("unexpected result of a start: " + answered.result());
     }
   }
 
@@ -264,11 +275,11 @@
   }
 
   /**
-   * Returns for how long this host's clock has stood still, in milliseconds, judging by the clock
-   * reading in an upstream's answer; at most 0 if it has not.
+   * Returns how long this host's clock was paused, in milliseconds, according to the clock reading
+   * in an upstream's answer; at most 0 if it was not.
    */
-  long localPauseMillis(UpstreamAnnouncement notice, OptionalLong clockMillis) {
-    UpstreamLease upstream = findInstance(notice);
+  long localPauseMillis(UpstreamAnnouncement announcement, OptionalLong clockMillis) {
+    UpstreamLease upstream = findInstance(announcement);
     return upstream == null || clockMillis.isEmpty()
         ? 0
         : upstream.localPauseMillis(clockMillis.getAsLong(), context.arrivedAt());
@@ -325,12 +336,15 @@
       }
     }
     if (shouldRenew(upstream)) {
-      // At once: until the next call waits there, no end of a run is heard of.
+      // Renews immediately, as the end of a run is reported only to a renewal that waits at the
+      // upstream.
       renew(upstream, true);
     }
   }
 
-  /** Gives a run of an earlier dispatcher to the work that it belongs to, now or once it comes. */
+  /**
+   * Assigns a run of an earlier dispatcher to its work, or retains it until that work is submitted.
+   */
   private void runFound(RunId id, UpstreamLease upstream) {
     // The earlier dispatcher may have renewed the lease just before this one took over.
     upstream.extendCoverage(timing, context.now());
@@ -358,7 +372,8 @@
             "run-cut-short", "run=" + run.id + " upstream=" + upstream.announcement.id());
         runs.endRun(run);
       }
-      default -> throw new IllegalStateException("unknown cause " + end.cause());
+      default ->
+          throw new IllegalStateException("unexpected cause of the end of a run: " + end.cause());
     }
   }
 
@@ -392,7 +407,7 @@
     }
   }
 
-  /** The upstream's process is gone, and what it ran with it. */
+  /** Removes an upstream whose process is gone, together with its runs. */
   private void instanceGone(UpstreamLease upstream, String reason) {
     context.logEvent(
         "upstream-over",
@@ -407,20 +422,20 @@
   }
 
   /**
-   * Leaves an upstream to the host that holds the higher context.token().
+   * Gives up an upstream to the host that holds the higher token.
    *
    * <p>That host is usually a dispatcher on the other side of a partition, and one of the two gives
-   * the role up once they hear each other. Where the upstream goes on refusing, the higher token
-   * may belong to a host that is gone, and only a still higher one helps.
+   * up the role once they are in contact. If the upstream keeps refusing, the higher token may
+   * belong to a host that is gone, and only a still higher token helps.
    */
   private void tokenSuperseded(UpstreamLease upstream) {
     if (upstream.consecutiveRefusals > 0 && context.now() < upstream.nextRenewalAt) {
-      // Of an order that was on its way when the first refusal came.
+      // The refused order was sent before the first refusal arrived.
       return;
     }
     upstream.tokenAccepted = false;
     if (!upstream.inOwnShard) {
-      // The dispatcher of its shard has it now.
+      // The upstream belongs to the dispatcher of another shard now.
       return;
     }
     upstream.consecutiveRefusals++;
@@ -454,17 +469,20 @@
             "upstream=" + upstream.announcement.id() + " runs=" + upstream.runs.size());
         runs.endRunsOn(upstream);
       }
-      int mostUnanswered = upstream.inOwnShard ? 4 : 0;
+      int maxUnanswered = upstream.inOwnShard ? 4 : 0;
       if (upstream.announcement.leaving()
           && upstream.runs.isEmpty()
-          && upstream.unansweredRenewals > mostUnanswered) {
+          && upstream.unansweredRenewals > maxUnanswered) {
         upstreams.remove(upstream.announcement.id());
         context.logEvent("upstream-left", "upstream=" + upstream.announcement.id());
       }
     }
   }
 
-  /** Returns whether an upstream is renewed: the shard's, and others while runs are read there. */
+  /**
+   * Returns whether an upstream is renewed: one of the shard always, another one while this host
+   * still tracks runs there.
+   */
   private boolean shouldRenew(UpstreamLease upstream) {
     return upstream.inOwnShard || (upstream.tokenAccepted && !upstream.runs.isEmpty());
   }
@@ -472,13 +490,16 @@
   /**
    * Renews the lease of an upstream.
    *
-   * <p>Once no renewal was answered for {@link #EXTENSION_SILENCE_TIMEOUT_MILLIS}, the lease isn't
-   * made longer: an upstream that receives and can't answer would otherwise never end its runs, and
-   * they couldn't start elsewhere.
+   * <p>The lease isn't extended once no renewal was answered for {@link
+   * #EXTENSION_SILENCE_TIMEOUT_MILLIS}: an upstream that receives messages but can't answer would
+   * otherwise never end its runs, and their tasks couldn't start elsewhere.
+   *
+   * @param mayWait whether the renewal may wait at the upstream for the end of a run
    */
-  private void renew(UpstreamLease upstream, boolean wait) {
-    boolean heard = context.now() - upstream.lastRenewedAt <= EXTENSION_SILENCE_TIMEOUT_MILLIS;
-    boolean extend = upstream.inOwnShard && heard && runs.mayExtendLease(upstream);
+  private void renew(UpstreamLease upstream, boolean mayWait) {
+    boolean recentlyAnswered =
+        context.now() - upstream.lastRenewedAt <= EXTENSION_SILENCE_TIMEOUT_MILLIS;
+    boolean extend = upstream.inOwnShard && recentlyAnswered && runs.mayExtendLease(upstream);
     long deadline =
         extend && upstream.tokenAccepted ? upstream.leaseDeadline(timing, context.now()) : 0;
     if (deadline != 0) {
@@ -489,7 +510,7 @@
     upstream.renewalInFlight = true;
     upstream.renewalSequence = context.nextSequence();
     upstream.renewalSentAt = context.now();
-    boolean longPoll = wait && upstream.tokenAccepted && upstream.unansweredRenewals == 0;
+    boolean longPoll = mayWait && upstream.tokenAccepted && upstream.unansweredRenewals == 0;
     context.emit(
         new LeaseEffect.Renew(
             upstream.announcement,
@@ -503,8 +524,8 @@
                 : timing.answerTimeoutMillis()));
   }
 
-  private @Nullable UpstreamLease findInstance(UpstreamAnnouncement notice) {
-    UpstreamLease known = upstreams.get(notice.id());
-    return known != null && known.announcement.isSameInstance(notice) ? known : null;
+  private @Nullable UpstreamLease findInstance(UpstreamAnnouncement announcement) {
+    UpstreamLease known = upstreams.get(announcement.id());
+    return known != null && known.announcement.isSameInstance(announcement) ? known : null;
   }
 }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/lease/LeasedRun.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/lease/LeasedRun.java
@@ -4,18 +4,21 @@
 import org.burdockbay.core.work.TaskSize;
 import org.jspecify.annotations.Nullable;
 
-/** A run that an upstream was told to start and that isn't known to be over. */
+/** A run that was ordered from an upstream and isn't known to be over. */
 final class LeasedRun {
 
-  /** What is known of a run. */
+  /** The state of a run as far as this host knows it. */
   enum Phase {
-    /** The start is on its way. */
+    /** The start was sent and isn't answered yet. */
     STARTING,
-    /** The start wasn't answered; the next list of runs tells. */
+    /**
+     * The start wasn't answered in time; the upstream's next list of runs shows whether it was
+     * carried out.
+     */
     UNSURE,
-    /** It runs. */
+    /** The run is under way. */
     RUNNING,
-    /** It is being stopped. */
+    /** The run is being stopped. */
     STOPPING
   }
 
@@ -24,33 +27,38 @@
   final TaskSize size;
   final long beganAt;
 
-  /** End of the lease that its start carries, on the upstream's clock, in milliseconds. */
+  /** End of the lease that the start carries, on the upstream's clock, in milliseconds. */
   long leaseEndMillis;
 
-  /** When the start was sent last, in milliseconds. */
+  /** When the start was last sent, in milliseconds. */
   long lastStartSentAt;
 
-  /** Whether it has taken much longer than expected. */
+  /** Whether the run has taken much longer than expected. */
   boolean overdue;
 
-  /** Starts that this role has sent; 0 for a run of an earlier dispatcher. */
+  /**
+   * Number of copies of the start that were sent under this role; 0 for a run of an earlier
+   * dispatcher.
+   */
   int startsSent = 1;
 
-  /** Starts that were neither answered nor given up. */
+  /** Number of copies of the start that were neither answered nor timed out. */
   int unansweredStarts = 1;
 
   Phase phase = Phase.STARTING;
 
-  /** The task that gets the result; null once nobody wants it any more. */
+  /** The task that gets the result; null once the result is no longer needed. */
   @Nullable TaskState task;
 
   /**
-   * Where the upstream's confirmation of the start or the stop stands in the order of {@link
-   * DispatchContext#nextSequence}; 0 before it came.
+   * Sequence number ({@link DispatchContext#nextSequence}) of the upstream's confirmation of the
+   * start or the stop; 0 until the confirmation arrives.
    */
   long confirmedSequence;
 
-  /** When the stop was sent last, in milliseconds; 0 before and once no answer is expected. */
+  /**
+   * When the stop was last sent, in milliseconds; 0 before that, and once no answer is expected.
+   */
   long lastStopSentAt;
 
   int stopsSent;
@@ -64,7 +72,7 @@
     this.lastStartSentAt = sentAt;
   }
 
-  /** Creates a run of an earlier dispatcher that nobody has claimed; its size isn't known. */
+  /** Creates an unclaimed run of an earlier dispatcher, whose size is unknown. */
   LeasedRun(RunId id, UpstreamLease upstream, long foundAt) {
     this.id = id;
     this.upstream = upstream;
--- a/burdockbay-core/src/main/java/org/burdockbay/core/lease/OrderResult.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/lease/OrderResult.java
@@ -1,23 +1,23 @@
 package org.burdockbay.core.lease;
 
-/** How an upstream answered a call. */
+/** The result of an order that was sent to an upstream. */
 public enum OrderResult {
-  /** It did what it was told. */
+  /** The upstream carried out the order. */
   DONE,
-  /** It has seen a higher fencing token. */
+  /** The upstream has seen a higher fencing token. */
   FENCED,
-  /** It has run or stopped that start, or a later one, before. */
+  /** The upstream has already run or stopped this start or a later one. */
   OLD,
-  /** The order's lease had run out when it came. */
+  /** The lease in the order had expired when the order arrived. */
   LATE,
-  /** It has no room for the task. */
+  /** The upstream lacks the capacity for the task. */
   NO_ROOM,
-  /** It takes no orders at present and has done nothing. */
+  /** The upstream accepts no orders at present and has done nothing. */
   UNWELL,
-  /** Another life of the upstream, or another upstream, has the address. */
+  /** Another instance of the upstream, or another upstream, uses the address. */
   OTHER_LIFE,
-  /** It refuses the order as malformed. */
+  /** The upstream refuses the order as malformed. */
   INVALID,
-  /** No answer came; the order may be carried out, also later. */
+  /** No answer arrived; the order may have been carried out, or may be later. */
   NO_ANSWER
 }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/lease/PlacementPolicy.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/lease/PlacementPolicy.java
@@ -9,9 +9,9 @@
 /**
  * Chooses the upstream for a task.
  *
- * <p>Best fit by processor: two or three tasks fill an upstream, and a task that leaves the
- * smallest rest keeps larger rests whole for larger tasks. Upstreams on the rack of the data go
- * first, since elsewhere the task takes longer.
+ * <p>Uses best fit by processor: two or three tasks fill an upstream, and choosing the upstream
+ * with the smallest remainder keeps larger remainders free for larger tasks. Upstreams on the rack
+ * of the data are preferred, since the task takes longer elsewhere.
  */
 final class PlacementPolicy {
 
@@ -19,24 +19,24 @@
   private final long now;
 
   /**
-   * The most room that any upstream has in each respect. Under overload nearly every task is turned
-   * away by this alone, instead of by a look at each upstream.
+   * The largest free capacity of any upstream in each dimension. Under overload, this check alone
+   * rejects nearly every task, without examining each upstream.
    */
   private TaskSize maxFreeCapacity = TaskSize.ZERO;
 
   /**
    * Creates the policy for one round of placements.
    *
-   * @param open the upstreams on which tasks may start now
+   * @param candidates the upstreams on which tasks may start now
    * @param now the time in milliseconds
    */
-  PlacementPolicy(List<UpstreamLease> open, long now) {
-    this.candidates = open;
+  PlacementPolicy(List<UpstreamLease> candidates, long now) {
+    this.candidates = candidates;
     this.now = now;
     updateMaxFreeCapacity();
   }
 
-  /** Takes note that a task was started on one of the upstreams. */
+  /** Recomputes the largest free capacity after a task was started on one of the upstreams. */
   void updateMaxFreeCapacity() {
     maxFreeCapacity = TaskSize.ZERO;
     for (UpstreamLease upstream : candidates) {
@@ -59,16 +59,16 @@
     if (!first.step.size().fitsInto(maxFreeCapacity)) {
       return false;
     }
-    int left = tasks.size();
+    int remaining = tasks.size();
     for (UpstreamLease upstream : candidates) {
       if (isCompatible(upstream, first)) {
-        left -= Math.min(left, first.step.size().maxCountIn(upstream.freeCapacity()));
+        remaining -= Math.min(remaining, first.step.size().maxCountIn(upstream.freeCapacity()));
       }
     }
-    return left == 0;
+    return remaining == 0;
   }
 
-  /** Returns the upstream that is to run the task; empty if none can now. */
+  /** Returns the upstream on which to start the task; empty if none can run it now. */
   Optional<UpstreamLease> choose(TaskState task) {
     if (!task.step.size().fitsInto(maxFreeCapacity)) {
       return Optional.empty();
@@ -88,7 +88,7 @@
     return Optional.ofNullable(best);
   }
 
-  /** Returns whether some upstream of the service could ever run the task, busy or not. */
+  /** Returns whether some upstream of the service could run the task, whatever its present load. */
   static boolean canEverRun(Collection<UpstreamLease> upstreams, TaskState task) {
     return upstreams.stream()
         .anyMatch(
@@ -116,20 +116,20 @@
     if (limit == 0) {
       return true;
     }
-    long there =
+    long running =
         upstream.runs.values().stream()
             .filter(run -> run.id.task().work().equals(task.id.work()))
             .filter(run -> run.id.task().step() == task.id.step())
             .count();
-    return there < limit;
+    return running < limit;
   }
 
   private static long score(UpstreamLease upstream, TaskState task) {
     WorkStep step = task.step;
-    TaskSize rest = upstream.freeCapacity().minus(step.size());
-    boolean far =
+    TaskSize remainder = upstream.freeCapacity().minus(step.size());
+    boolean offRack =
         step.nearRack().map(rack -> !upstream.announcement.labels().contains(rack)).orElse(false);
-    long score = rest.cpuMillicores() + ((long) rest.accelerators() << 32);
-    return far ? score + (1L << 48) : score;
+    long score = remainder.cpuMillicores() + ((long) remainder.accelerators() << 32);
+    return offRack ? score + (1L << 48) : score;
   }
 }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/lease/RunEnd.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/lease/RunEnd.java
@@ -3,21 +3,21 @@
 import org.burdockbay.core.work.RunId;
 
 /**
- * One end that an upstream lists until it is acknowledged.
+ * The end of a run, which an upstream lists until it is acknowledged.
  *
- * @param number its number in the upstream's life, from 1
- * @param run what ended
+ * @param number number of the end within the upstream's instance, from 1
+ * @param run the run that ended
  * @param cause how it ended
  */
 public record RunEnd(long number, RunId run, Cause cause) {
 
   /** How a run ended. */
   public enum Cause {
-    /** It finished its work. */
+    /** The run completed its task. */
     DONE,
-    /** It failed, through its own fault or the upstream's. */
+    /** The run failed, through its own fault or the upstream's. */
     FAILED,
-    /** It was stopped on order, or its lease ran out, or others of its group ended. */
+    /** The run was stopped by an order, its lease expired, or other runs of its group ended. */
     CUT_SHORT
   }
 }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/lease/RunTable.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/lease/RunTable.java
@@ -8,24 +8,27 @@
 import org.burdockbay.core.work.TaskId;
 
 /**
- * The runs that were told to start and aren't known to be over, by task.
+ * Keeps the runs that were ordered and aren't known to be over, by task.
  *
- * <p>A task has at most one of them. It starts again only once that one is over.
+ * <p>A task has at most one such run, and starts again only once that run is over.
  */
 final class RunTable {
 
-  /** An order is sent so often at most before lists decide; each copy may be lost by itself. */
+  /**
+   * Maximum number of copies of an order, each of which may be lost; after that, the upstreams'
+   * lists of runs decide.
+   */
   private static final int MAX_COPIES = 4;
 
-  /** A renewal counts as lost after so many times the usual time for an answer. */
+  /** A renewal counts as lost after this multiple of the usual time for an answer. */
   private static final double RENEWAL_TIMEOUT_RATIO = 5;
 
-  /** The weight of the newest answer in the usual time for one. */
+  /** The weight of the newest answer in the moving average of answer times. */
   private static final double NEWEST_ANSWER_WEIGHT = 0.1;
 
   /**
-   * How much later than an order another one was sent, in milliseconds, whose answer shows that the
-   * first one is lost; answers of calls that were sent together come in any order.
+   * An order counts as lost only if a call that was sent at least this much later was answered, in
+   * milliseconds; answers to calls that were sent together arrive in any order.
    */
   private static final long REORDERING_TOLERANCE_MILLIS = 10;
 
@@ -34,33 +37,33 @@
   private final Map<TaskId, LeasedRun> openRuns = new HashMap<>();
   private final TakenOverRuns takenOverRuns = new TakenOverRuns();
 
-  /** How long starts take to be answered, in milliseconds; a moving average. */
+  /** Moving average of the time until a start is answered, in milliseconds. */
   private double meanAnswerMillis;
 
-  /** When the newest call that was answered had been sent, in milliseconds. */
+  /** When the most recently sent of the answered calls was sent, in milliseconds. */
   private long newestAnsweredSentAt;
 
-  RunTable(DispatchContext context, LeaseTiming terms) {
+  RunTable(DispatchContext context, LeaseTiming timing) {
     this.context = context;
-    this.timing = terms;
+    this.timing = timing;
   }
 
-  /** Takes note of how long a start took to be answered, in milliseconds. */
+  /** Records how long a start took to be answered, in milliseconds. */
   void recordAnswerTime(long millis) {
     meanAnswerMillis += NEWEST_ANSWER_WEIGHT * (millis - meanAnswerMillis);
   }
 
-  /** Takes note that a call that was sent at some time was answered. */
+  /** Records that a call sent at the given time was answered. */
   void recordAnswered(long sentAt) {
     newestAnsweredSentAt = Math.max(newestAnsweredSentAt, sentAt);
   }
 
   /**
-   * Returns whether an order that was sent at some time and isn't answered counts as lost.
+   * Returns whether an unanswered order that was sent at the given time counts as lost.
    *
-   * <p>Only once later calls were answered: where this host or the network is slow, all answers are
-   * late, and copies would add to the load that makes it slow. A host that takes over on a cold
-   * process would send four copies of each of its first starts.
+   * <p>It does so only once later calls were answered: when this host or the network is slow, all
+   * answers are late, and copies would add to the load that causes the delay. A host that takes
+   * over with a cold process would send four copies of each of its first starts.
    */
   private boolean isLost(long sentAt) {
     return context.now() - sentAt >= timing.resendIntervalMillis()
@@ -70,7 +73,8 @@
   /**
    * Returns the silence beyond its wait after which a renewal counts as lost, in milliseconds.
    *
-   * <p>It follows what is usual, for the same reason.
+   * <p>It follows the usual answer time: when this host or the network is slow, all answers are
+   * late, and copies would add to the load.
    */
   long renewalTimeoutMillis() {
     return Math.clamp(
@@ -122,7 +126,9 @@
             run.leaseEndMillis));
   }
 
-  /** Gives the work the runs that an earlier dispatcher started and that were found running. */
+  /**
+   * Assigns to the work its runs and results of an earlier dispatcher that upstreams have listed.
+   */
   void adoptRuns(WorkState work) {
     for (List<TaskState> tasks : work.steps) {
       for (TaskState task : tasks) {
@@ -151,29 +157,32 @@
     context.logEvent("run-adopted", "run=" + id + " upstream=" + upstream.announcement.id());
   }
 
-  /** Keeps a run or result of an earlier dispatcher for the work that it belongs to. */
+  /** Retains a run of an earlier dispatcher until its work is submitted. */
   void retainRun(RunId id, UpstreamLease upstream) {
     takenOverRuns.addRun(id, upstream, context.now());
   }
 
-  /** Keeps a result of an earlier dispatcher for the work that it belongs to. */
+  /** Retains a result of an earlier dispatcher until its work is submitted. */
   void retainResult(TaskId task) {
     takenOverRuns.addResult(task, context.now());
   }
 
   /**
-   * Compares a run with the list of an upstream's runs.
+   * Reconciles a run with an upstream's list of runs.
+   *
+   * <p>A list proves that a run is over only if it was requested after the start or stop was
+   * confirmed. Answers on several connections overtake each other, and a list made before a start
+   * may arrive after the confirmation of the start; accepted as proof, it would let the task run
+   * twice.
    *
-   * <p>A list proves that a run is over only if it was asked for after the start or stop was
-   * confirmed. Answers on several connections overtake each other, and a list that was made before
-   * a start may come after its confirmation; taken for proof, it would let the task run twice.
+   * @param listed whether the list contains the run
    */
-  void reconcile(LeasedRun run, boolean there) {
-    boolean listedSince =
+  void reconcile(LeasedRun run, boolean listed) {
+    boolean listedAfterConfirmation =
         run.confirmedSequence != 0 && run.confirmedSequence < run.upstream.renewalSequence;
     switch (run.phase) {
       case UNSURE -> {
-        if (there) {
+        if (listed) {
           run.phase = LeasedRun.Phase.RUNNING;
           run.confirmedSequence = context.nextSequence();
         } else {
@@ -181,19 +190,19 @@
         }
       }
       case RUNNING, STOPPING -> {
-        if (!there && listedSince) {
+        if (!listed && listedAfterConfirmation) {
           endMissingRun(run);
         } else if (run.phase == LeasedRun.Phase.STOPPING && run.lastStopSentAt == 0) {
           stop(run);
         }
       }
       case STARTING -> {
-        if (there) {
+        if (listed) {
           run.phase = LeasedRun.Phase.RUNNING;
           run.confirmedSequence = context.nextSequence();
         }
       }
-      default -> throw new IllegalStateException("unknown phase " + run.phase);
+      default -> throw new IllegalStateException("unexpected phase of a run: " + run.phase);
     }
   }
 
@@ -214,11 +223,11 @@
   }
 
   /**
-   * Takes note that a start was refused.
+   * Handles the refusal of a start.
    *
-   * <p>A start that was sent several times may be refused since an earlier copy ran and ended, and
-   * a copy that is held up may be carried out later. The run then counts as over only once a stop
-   * was confirmed, after which the upstream refuses every copy.
+   * <p>A start that was sent several times may be refused because an earlier copy ran and ended,
+   * and a delayed copy may still be carried out. The run then counts as over only once a stop is
+   * confirmed, after which the upstream refuses every copy.
    */
   void startRefused(LeasedRun run, OrderResult result) {
     context.logEvent(
@@ -241,7 +250,7 @@
     }
   }
 
-  /** Takes note that a copy of a start gets no answer. */
+  /** Handles the missing answer to a copy of a start. */
   void startUnanswered(LeasedRun run) {
     if (run.unansweredStarts == 0 && run.phase == LeasedRun.Phase.STARTING) {
       markUnsure(run);
@@ -267,7 +276,7 @@
     context.emit(new LeaseEffect.Stop(run.upstream.announcement, run.id, context.token()));
   }
 
-  /** Takes note that a run is over, whatever became of it; its task may start again. */
+  /** Records that a run is over, whatever its result; its task may start again. */
   void endRun(LeasedRun run) {
     run.upstream.removeRun(run);
     openRuns.remove(run.id.task(), run);
@@ -278,31 +287,31 @@
     }
   }
 
-  /** Takes note that everything that ran on an upstream is over. */
+  /** Records that all runs on an upstream are over. */
   void endRunsOn(UpstreamLease upstream) {
     List.copyOf(upstream.runs.values()).forEach(this::endRun);
   }
 
-  /** Takes note that an upstream's life is over, with all that ran there. */
+  /** Records that an upstream's instance is gone, and with it all its runs. */
   void forgetUpstream(UpstreamLease upstream) {
     endRunsOn(upstream);
     takenOverRuns.forgetUpstream(upstream);
   }
 
-  /** Returns whether an upstream has runs of an earlier dispatcher that nobody has claimed yet. */
+  /** Returns whether an upstream has unclaimed runs of an earlier dispatcher. */
   boolean hasUnclaimedRuns(UpstreamLease upstream) {
     return takenOverRuns.hasRunsOn(upstream);
   }
 
   /**
-   * Takes runs that are overdue from their upstreams, where another one has room for the task.
+   * Stops overdue runs whose tasks can be placed on another upstream.
    *
-   * @param open the upstreams on which tasks may start now
+   * @param usableUpstreams supplies the upstreams on which tasks may start now
    */
-  void moveStragglers(StragglerRule rule, Supplier<List<UpstreamLease>> open) {
+  void moveStragglers(StragglerRule rule, Supplier<List<UpstreamLease>> usableUpstreams) {
     List<LeasedRun> stragglers = rule.findStragglers(openRuns.values(), context.now());
     if (!stragglers.isEmpty()) {
-      PlacementPolicy placement = new PlacementPolicy(open.get(), context.now());
+      PlacementPolicy placement = new PlacementPolicy(usableUpstreams.get(), context.now());
       stragglers.forEach(run -> handleStraggler(run, rule, placement));
     }
   }
@@ -341,23 +350,24 @@
   }
 
   /**
-   * Sends an order again that wasn't answered.
+   * Sends an unanswered order again if it counts as lost.
    *
-   * <p>An order or its answer may be lost or held up for seconds, while the next call works. The
-   * copies carry the same run, so the upstream carries out one of them at most, and the same end of
-   * the lease: a later one would hold for all that runs there, also for what is being stopped.
+   * <p>An order or its answer may be lost or delayed for seconds while the next call succeeds. The
+   * copies carry the same run, so the upstream carries out at most one of them. They also carry the
+   * same end of the lease: a later one would apply to all runs on the upstream, including those
+   * that are being stopped.
    */
   private void resendIfLost(LeasedRun run) {
     switch (run.phase) {
       case STARTING -> resendStartIfLost(run);
       case STOPPING -> {
-        boolean open = run.confirmedSequence == 0 && run.lastStopSentAt != 0;
-        if (open && run.stopsSent < MAX_COPIES && isLost(run.lastStopSentAt)) {
+        boolean unanswered = run.confirmedSequence == 0 && run.lastStopSentAt != 0;
+        if (unanswered && run.stopsSent < MAX_COPIES && isLost(run.lastStopSentAt)) {
           sendStop(run);
         }
       }
       default -> {
-        // Nothing is on its way.
+        // No order is in flight.
       }
     }
   }
@@ -394,11 +404,11 @@
   }
 
   /**
-   * Returns whether the lease of an upstream may be made longer.
+   * Returns whether the lease of an upstream may be extended.
    *
-   * <p>A lease covers everything that runs on the upstream. A run that is to stop, or that nobody
-   * has claimed, may start elsewhere under another dispatcher as soon as the lease that it had is
-   * over; a longer one would let the two overlap.
+   * <p>A lease covers all runs on the upstream. A run that is to be stopped, or that is unclaimed,
+   * may start elsewhere under another dispatcher as soon as its present lease is over; an extension
+   * would let the two runs overlap.
    */
   boolean mayExtendLease(UpstreamLease upstream) {
     return !hasUnclaimedRuns(upstream)
--- a/burdockbay-core/src/main/java/org/burdockbay/core/lease/StragglerRule.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/lease/StragglerRule.java
@@ -7,50 +7,58 @@
 import java.util.Set;
 
 /**
- * Tells runs that take much longer than their like.
+ * Identifies runs that take much longer than comparable ones.
  *
- * <p>An upstream that hangs or has turned slow announces itself as before and answers every call;
- * only what it does with work shows it. Wide jobs suffer most: one task of eight on a slow upstream
- * makes the whole answer late.
+ * <p>An upstream that hangs or has become slow keeps announcing itself and answers every call; only
+ * the run times of its tasks show the fault. Wide jobs suffer most: one task of eight on a slow
+ * upstream delays the whole answer.
  */
 final class StragglerRule {
 
-  /** How many times the expected time a run may take; estimates and tasks differ by less. */
+  /** Maximum ratio of a run's time to the expected time; estimates and tasks vary by less. */
   private static final double MAX_RUN_TIME_RATIO = 3;
 
-  /** What is added for calls and lists on their way, in milliseconds. */
+  /** Allowance for calls and lists in flight, in milliseconds. */
   private static final long CALL_ALLOWANCE_MILLIS = 40;
 
   /**
-   * By how much a caller's estimate may be too short, as long as no sibling is done: then the job
-   * and not the upstream may be what is slow.
+   * Factor on a caller's estimate while no sibling task is done: until then the job may be slow
+   * rather than the upstream.
    */
   private static final double ESTIMATE_MARGIN = 2.5;
 
-  /** A task is moved so often at most; one that is slow everywhere is its own fault. */
+  /**
+   * Maximum number of moves of a task; a task that is slow everywhere is slow through its own
+   * fault.
+   */
   private static final int MAX_MOVES_PER_TASK = 1;
 
   /**
-   * Upstreams with overdue runs count as slow only while they are fewer than this share of those
-   * that run something. Where more are, the cause is common to all: this host is slow itself, or
-   * stood still, or has just taken the runs over.
+   * Upstreams with overdue runs count as slow only while they are fewer than this share of the
+   * upstreams with runs. If there are more, the cause is common to all of them: this host is slow
+   * itself, was paused, or has just taken over the runs.
    */
   private static final double MAX_SLOW_UPSTREAM_SHARE = 0.25;
 
-  /** Returns the runs that have taken much longer than expected, while their peers haven't. */
+  /**
+   * Returns the runs that have taken much longer than expected, unless too many upstreams have such
+   * runs.
+   */
   List<LeasedRun> findStragglers(Collection<LeasedRun> runs, long now) {
-    Set<UpstreamLease> busy = new HashSet<>();
-    Set<UpstreamLease> slow = new HashSet<>();
-    List<LeasedRun> overdue = new ArrayList<>();
+    Set<UpstreamLease> busyUpstreams = new HashSet<>();
+    Set<UpstreamLease> slowUpstreams = new HashSet<>();
+    List<LeasedRun> overdueRuns = new ArrayList<>();
     for (LeasedRun run : runs) {
-      busy.add(run.upstream);
+      busyUpstreams.add(run.upstream);
       if (isOverdue(run, now)) {
-        slow.add(run.upstream);
-        overdue.add(run);
+        slowUpstreams.add(run.upstream);
+        overdueRuns.add(run);
       }
     }
-    boolean few = slow.size() == 1 || slow.size() < MAX_SLOW_UPSTREAM_SHARE * busy.size();
-    return few ? overdue : List.of();
+    boolean fewSlow =
+        slowUpstreams.size() == 1
+            || slowUpstreams.size() < MAX_SLOW_UPSTREAM_SHARE * busyUpstreams.size();
+    return fewSlow ? overdueRuns : List.of();
   }
 
   private static boolean isOverdue(LeasedRun run, long now) {
@@ -60,12 +68,15 @@
         && now - run.beganAt > MAX_RUN_TIME_RATIO * expectedMillis(task) + CALL_ALLOWANCE_MILLIS;
   }
 
-  /** Returns whether the task, started anew elsewhere, could still end before its caller leaves. */
+  /** Returns whether the task, restarted elsewhere, could still end before its caller's timeout. */
   boolean isWorthMoving(TaskState task, long now) {
     return task.moves < MAX_MOVES_PER_TASK && now + expectedMillis(task) < task.work.expiresAt();
   }
 
-  /** Returns how long a task is expected to run: as long as the others of its step have. */
+  /**
+   * Returns the expected run time of a task, in milliseconds: the mean of the finished tasks of its
+   * step, or else the caller's estimate with a margin.
+   */
   private static double expectedMillis(TaskState task) {
     return task.work
         .meanRunMillis(task.id.step())
--- a/burdockbay-core/src/main/java/org/burdockbay/core/lease/TakenOverRuns.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/lease/TakenOverRuns.java
@@ -9,21 +9,23 @@
 import org.burdockbay.core.work.TaskId;
 
 /**
- * Runs and results of an earlier dispatcher that upstreams have listed.
+ * Keeps runs and results of an earlier dispatcher that upstreams have listed.
  *
- * <p>The entry hosts submit their work again as soon as they hear of a new dispatcher. Runs that
- * nobody claims by {@link #CLAIM_TIMEOUT_MILLIS} belong to callers that are gone.
+ * <p>Entry hosts submit their work again as soon as they discover a new dispatcher. Runs that are
+ * unclaimed after {@link #CLAIM_TIMEOUT_MILLIS} belong to callers that are gone.
  */
 final class TakenOverRuns {
 
   /**
    * Time for entry hosts to claim runs, in milliseconds: they submit their work again as soon as
-   * they hear of the new dispatcher. Meanwhile the upstream's lease isn't renewed, and it may have
-   * 200 ms left.
+   * they discover the new dispatcher. Until then the upstream's lease isn't extended, and it may
+   * have only 200 ms left.
    */
   static final long CLAIM_TIMEOUT_MILLIS = 150;
 
-  /** Results are kept longer, since they cost nothing, in milliseconds. */
+  /**
+   * How long results are retained, in milliseconds; longer than runs, since results cost nothing.
+   */
   private static final long RESULT_RETENTION_MILLIS = 3_000;
 
   private final Map<TaskId, FoundRun> running = new HashMap<>();
@@ -61,23 +63,27 @@
     finished.clear();
   }
 
-  /** Returns the runs that nobody has claimed in time, and forgets them. */
+  /** Removes and returns the runs that weren't claimed in time. */
   List<FoundRun> removeUnclaimed(long now) {
     List<FoundRun> unclaimed = new ArrayList<>();
     running
         .values()
         .removeIf(
             found -> {
-              boolean late = now - found.foundAt > CLAIM_TIMEOUT_MILLIS;
-              if (late) {
+              boolean expired = now - found.foundAt > CLAIM_TIMEOUT_MILLIS;
+              if (expired) {
                 unclaimed.add(found);
               }
-              return late;
+              return expired;
             });
     finished.values().removeIf(at -> now - at > RESULT_RETENTION_MILLIS);
     return unclaimed;
   }
 
-  /** A run that was found at an upstream. */
+  /**
+   * A run that an upstream has listed.
+   *
+   * @param foundAt when it was first listed, in milliseconds
+   */
   record FoundRun(RunId run, UpstreamLease upstream, long foundAt) {}
 }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/lease/TaskState.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/lease/TaskState.java
@@ -4,7 +4,7 @@
 import org.burdockbay.core.work.WorkStep;
 import org.jspecify.annotations.Nullable;
 
-/** One task of a {@link WorkState}. */
+/** The state of one task of a {@link WorkState}. */
 final class TaskState {
 
   final WorkState work;
@@ -13,15 +13,17 @@
   boolean done;
   int failures;
 
-  /** How often it was taken from an upstream on which it took too long. */
+  /** How often the task was moved from an upstream on which it took too long. */
   int moves;
 
   long lastRunNumber;
 
-  /** The run that is under way, if one is. */
+  /** The run that is under way; null if there is none. */
   @Nullable LeasedRun run;
 
-  /** The upstream on which the task failed or stood still last; empty if none. */
+  /**
+   * The id of the upstream on which the task last failed or was overdue; empty if there is none.
+   */
   String avoidedUpstream = "";
 
   TaskState(WorkState work, TaskId id, WorkStep step) {
--- a/burdockbay-core/src/main/java/org/burdockbay/core/lease/UpstreamLease.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/lease/UpstreamLease.java
@@ -7,13 +7,16 @@
 import org.burdockbay.core.work.RunId;
 import org.burdockbay.core.work.TaskSize;
 
-/** What the dispatcher knows of one life of an upstream, and the lease that it keeps there. */
+/** The state of one instance of an upstream, and of the lease that this dispatcher keeps there. */
 final class UpstreamLease {
 
-  /** Starts on an upstream without room or out of order pause for this long, in milliseconds. */
+  /**
+   * Shortest pause of starts on an upstream that lacks capacity or is out of order, in
+   * milliseconds.
+   */
   static final long BASE_PAUSE_MILLIS = 200;
 
-  /** A run of failures doubles the pause up to this, in milliseconds. */
+  /** Longest pause, in milliseconds; consecutive failures double the pause up to this. */
   static final long MAX_PAUSE_MILLIS = 3_000;
 
   private static final int MAX_DOUBLINGS = 3;
@@ -21,38 +24,44 @@
   final Map<RunId, LeasedRun> runs = new HashMap<>();
   UpstreamAnnouncement announcement;
 
-  /** Whether it belongs to this host's shard. */
+  /** Whether the upstream belongs to this host's shard. */
   boolean inOwnShard;
 
-  /** Whether a renewal under the present token was answered. */
+  /** Whether a renewal under the current token was answered. */
   boolean tokenAccepted;
 
   TaskSize usedCapacity = TaskSize.ZERO;
 
-  /** Until when runs may go on there, whatever happens to this host; milliseconds. */
+  /** Until when runs may go on there, even if this host fails, in milliseconds. */
   long coveredUntil;
 
   long renewalNumber;
   boolean renewalInFlight;
 
-  /** Where the last renewal stands in the order of {@link DispatchContext#nextSequence}. */
+  /** Sequence number ({@link DispatchContext#nextSequence}) of the last renewal. */
   long renewalSequence;
 
   long nextRenewalAt;
 
-  /** When it last answered a renewal under the present token, in milliseconds. */
+  /**
+   * When the upstream last answered a renewal under the current token, in milliseconds; 0 if it
+   * never did.
+   */
   long lastRenewedAt;
 
   long acknowledgedEnd;
   int unansweredRenewals;
 
-  /** How often in a row it has refused this host's token. */
+  /** Number of consecutive refusals of this host's token. */
   int consecutiveRefusals;
 
-  /** How often in a row it failed a task, was too slow or took none; 0 once a task went well. */
+  /**
+   * Number of consecutive times that it failed a task, was too slow or refused a task; 0 once a
+   * task succeeds.
+   */
   int consecutiveFailures;
 
-  /** The work whose task failed or was too slow there last; empty if none. */
+  /** The id of the work whose task last failed or was too slow there; empty if there is none. */
   String lastFailedWork = "";
 
   long pausedUntil;
@@ -61,7 +70,8 @@
   long renewalSentAt;
 
   /**
-   * By how much its clock is ahead of this host's at most, as of {@link #maxClockLeadMeasuredAt}.
+   * Upper bound on how far the upstream's clock is ahead of this host's, in milliseconds, as of
+   * {@link #maxClockLeadMeasuredAt}.
    */
   private OptionalLong maxClockLead = OptionalLong.empty();
 
@@ -70,12 +80,12 @@
   private long upstreamClockMillis;
   private long clockReadAt;
 
-  UpstreamLease(UpstreamAnnouncement notice, boolean inScope) {
-    this.announcement = notice;
-    this.inOwnShard = inScope;
+  UpstreamLease(UpstreamAnnouncement announcement, boolean inOwnShard) {
+    this.announcement = announcement;
+    this.inOwnShard = inOwnShard;
   }
 
-  /** Returns whether it takes new tasks now. */
+  /** Returns whether new tasks may start on the upstream now. */
   boolean isUsable(long now) {
     return inOwnShard
         && tokenAccepted
@@ -85,7 +95,7 @@
         && now >= pausedUntil;
   }
 
-  /** Returns whether it has answered a renewal under the present token. */
+  /** Returns whether the upstream has ever answered a renewal under the current token. */
   boolean hasEverAcceptedToken() {
     return lastRenewedAt != 0;
   }
@@ -94,7 +104,7 @@
     return announcement.capacity().minus(usedCapacity);
   }
 
-  /** Notes the upstream's clock as it was read at some time before {@code now}. */
+  /** Records a reading of the upstream's clock that was taken at some time before {@code now}. */
   void recordClock(OptionalLong clock, long now) {
     if (clock.isPresent()) {
       hasClockReading = true;
@@ -104,12 +114,12 @@
   }
 
   /**
-   * Returns for how much longer than this host's clock the upstream's has gone on, in milliseconds,
-   * according to an answer; at most 0 unless this host's clock has stood still.
+   * Returns how much further the upstream's clock has advanced than this host's, in milliseconds,
+   * according to an answer; at most 0 unless this host's clock was paused.
    *
    * <p>The upstream read its clock before {@code now}, so an answer gives a lower bound on how far
    * that clock is ahead. Apart from clock drift, the lower bound cannot exceed the upper bounds
-   * from earlier renewals unless this host's clock has stood still.
+   * from earlier renewals unless this host's clock was paused.
    */
   long localPauseMillis(long clock, long now) {
     return maxClockLead.isEmpty() ? 0 : clock - now - maxClockLeadAt(now);
@@ -120,9 +130,9 @@
    * renewal gives a tighter one: the upstream read its clock after the renewal was sent.
    */
   void updateMaxClockLead(long clock, long now) {
-    long upper = clock - renewalSentAt;
-    if (maxClockLead.isEmpty() || upper < maxClockLeadAt(now)) {
-      maxClockLead = OptionalLong.of(upper);
+    long lead = clock - renewalSentAt;
+    if (maxClockLead.isEmpty() || lead < maxClockLeadAt(now)) {
+      maxClockLead = OptionalLong.of(lead);
       maxClockLeadMeasuredAt = now;
     }
   }
@@ -133,23 +143,24 @@
   }
 
   /**
-   * Returns the end of a lease that begins now, on the upstream's clock; 0 while that is unknown.
+   * Returns the end of a lease that begins now, on the upstream's clock, in milliseconds; 0 while
+   * that clock is unknown.
    *
-   * <p>The estimate of the upstream's time is never ahead of it: the reading is older than its
-   * answer, and the upstream's clock runs at the slowest rate allowed. So no lease lasts longer
-   * than {@link LeaseTiming#maxLeaseMillis}. An order that is held up on the network comes with a
-   * lease that has run out.
+   * <p>The estimate of the upstream's time is never ahead of the actual time: the reading is older
+   * than its answer, and the upstream's clock is taken to run at the slowest rate allowed. So no
+   * lease lasts longer than {@link LeaseTiming#maxLeaseMillis}. An order that is delayed on the
+   * network arrives with an expired lease.
    */
-  long leaseDeadline(LeaseTiming terms, long now) {
+  long leaseDeadline(LeaseTiming timing, long now) {
     if (!hasClockReading) {
       return 0;
     }
-    long passed = (long) ((now - clockReadAt) * LeaseTiming.MIN_CLOCK_RATE);
-    return upstreamClockMillis + passed + terms.leaseMillis();
+    long elapsedMillis = (long) ((now - clockReadAt) * LeaseTiming.MIN_CLOCK_RATE);
+    return upstreamClockMillis + elapsedMillis + timing.leaseMillis();
   }
 
-  void extendCoverage(LeaseTiming terms, long now) {
-    coveredUntil = Math.max(coveredUntil, now + terms.maxLeaseMillis());
+  void extendCoverage(LeaseTiming timing, long now) {
+    coveredUntil = Math.max(coveredUntil, now + timing.maxLeaseMillis());
   }
 
   void addRun(LeasedRun run) {
@@ -164,46 +175,46 @@
   }
 
   /**
-   * Returns the pause before the next renewal after one that wasn't answered, in milliseconds.
+   * Returns the pause before the next renewal after an unanswered one, in milliseconds.
    *
-   * <p>The first repetitions follow at once, as single answers may be lost. Each later pause is
-   * twice as long, so that a dead upstream costs a call every 1.6 s for as long as it is
-   * remembered.
+   * <p>The first repetitions follow immediately, as single answers may be lost. Each later pause is
+   * twice as long as the one before, up to 1.6 s, so that a dead upstream costs one call in that
+   * time for as long as it is remembered.
    */
   long renewalBackoffMillis() {
-    int lost = unansweredRenewals - LeaseTable.MAX_SHORT_TIMEOUT_RENEWALS;
-    return lost <= 0 ? 0 : BASE_PAUSE_MILLIS << Math.min(lost - 1, MAX_DOUBLINGS);
+    int retries = unansweredRenewals - LeaseTable.MAX_SHORT_TIMEOUT_RENEWALS;
+    return retries <= 0 ? 0 : BASE_PAUSE_MILLIS << Math.min(retries - 1, MAX_DOUBLINGS);
   }
 
   /**
-   * Returns whether it may get one more task beside what it runs.
+   * Returns whether the upstream may get another task in addition to its present runs.
    *
-   * <p>One that has failed or been too slow last gets a single task on trial: one that fails fast
-   * looks idle and would draw all tasks of the next jobs.
+   * <p>An upstream whose last task failed or was too slow gets only a single trial task: an
+   * upstream that fails fast looks idle and would attract all tasks of the next jobs.
    */
   boolean acceptsAnotherTask() {
     return consecutiveFailures == 0 || runs.isEmpty();
   }
 
   /**
-   * Takes note that a task failed or took too long there.
+   * Records that a task failed or took too long there.
    *
-   * <p>The first time may be the job's fault, so starts pause only from the second job in a row on;
-   * else a job that fails everywhere would close every upstream that it meets.
+   * <p>The first failure may be the job's fault, so starts pause only from the second job in a row
+   * on; otherwise a job that fails everywhere would close every upstream on which it runs.
    */
-  void recordFailure(String work, long now) {
+  void recordFailure(String workId, long now) {
     if (consecutiveFailures == 0) {
       consecutiveFailures = 1;
-    } else if (!lastFailedWork.equals(work)) {
+    } else if (!lastFailedWork.equals(workId)) {
       pauseStarts(now);
     }
-    lastFailedWork = work;
+    lastFailedWork = workId;
   }
 
-  /** Keeps starts away for a while that doubles with each failure in a row. */
+  /** Pauses starts on the upstream for a time that doubles with each consecutive failure. */
   void pauseStarts(long now) {
     consecutiveFailures++;
-    long pause = BASE_PAUSE_MILLIS << Math.min(Math.max(0, consecutiveFailures - 2), 8);
-    pausedUntil = now + Math.min(pause, MAX_PAUSE_MILLIS);
+    long pauseMillis = BASE_PAUSE_MILLIS << Math.min(Math.max(0, consecutiveFailures - 2), 8);
+    pausedUntil = now + Math.min(pauseMillis, MAX_PAUSE_MILLIS);
   }
 }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/lease/WorkState.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/lease/WorkState.java
@@ -9,28 +9,37 @@
 import org.burdockbay.core.work.WorkRequest;
 import org.burdockbay.core.work.WorkStep;
 
-/** A piece of work that isn't answered yet. */
+/** The state of a piece of work that isn't answered yet. */
 final class WorkState {
 
   final WorkRequest request;
   final long arrivedAt;
 
-  /** The entry hosts that wait, with their numbers for the request. */
+  /** The entry hosts that wait for the outcome, with their numbers for the request. */
   final Map<String, Long> tickets = new LinkedHashMap<>();
 
   final List<List<TaskState>> steps = new ArrayList<>();
   private final int[] unfinishedTasks;
 
-  /** Run times of the tasks of each step that are done, in milliseconds, and their number. */
+  /**
+   * Total run time of the finished tasks of each step, in milliseconds; {@link #finishedRuns}
+   * counts them.
+   */
   private final long[] totalRunMillis;
 
   private final int[] finishedRuns;
   private final long criticalPathMillis;
 
-  /** Until then no task starts, since an earlier dispatcher's runs may go on; milliseconds. */
+  /**
+   * End of the quiet period, before which no task starts because runs of an earlier dispatcher may
+   * go on, in milliseconds.
+   */
   long quietPeriodEndsAt;
 
-  /** Whether a start of one of its tasks was ever sent. */
+  /**
+   * Whether one of its tasks may have started: a start was sent, or an earlier dispatcher may have
+   * run it.
+   */
   boolean mayHaveStarted;
 
   WorkState(WorkRequest request, long arrivedAt) {
@@ -40,13 +49,13 @@
     this.totalRunMillis = new long[request.steps().size()];
     this.finishedRuns = new int[request.steps().size()];
     for (int step = 0; step < request.steps().size(); step++) {
-      WorkStep content = request.steps().get(step);
+      WorkStep definition = request.steps().get(step);
       List<TaskState> tasks = new ArrayList<>();
-      for (int index = 0; index < content.taskCount(); index++) {
-        tasks.add(new TaskState(this, new TaskId(request.id(), step, index), content));
+      for (int index = 0; index < definition.taskCount(); index++) {
+        tasks.add(new TaskState(this, new TaskId(request.id(), step, index), definition));
       }
       steps.add(tasks);
-      unfinishedTasks[step] = content.taskCount();
+      unfinishedTasks[step] = definition.taskCount();
     }
     this.criticalPathMillis = computeCriticalPath();
   }
@@ -56,24 +65,26 @@
     return criticalPathMillis;
   }
 
-  /** Returns until when the answer counts as prompt, by the caller's estimates. */
+  /** Returns the deadline for a prompt answer by the caller's estimates, in milliseconds. */
   long promptAnswerDeadline() {
     return arrivedAt + request.targetMillis() + Math.round(request.stretch() * criticalPathMillis);
   }
 
-  /** Returns the latest time at which the first task can start for a prompt answer. */
+  /**
+   * Returns the latest time at which the first task can start for a prompt answer, in milliseconds.
+   */
   long latestStartAt() {
     return promptAnswerDeadline() - criticalPathMillis;
   }
 
-  /** Returns when the caller leaves. */
+  /** Returns when the caller's timeout ends, in milliseconds. */
   long expiresAt() {
     return arrivedAt + request.budgetMillis();
   }
 
   boolean isReady(int step) {
     return request.steps().get(step).predecessors().stream()
-        .allMatch(before -> unfinishedTasks[before] == 0);
+        .allMatch(predecessor -> unfinishedTasks[predecessor] == 0);
   }
 
   void markFinished(TaskState task) {
@@ -83,13 +94,16 @@
     }
   }
 
-  /** Notes how long a task of a step ran until it was done, in milliseconds. */
+  /** Records how long a finished task of a step ran, in milliseconds. */
   void recordRunTime(int step, long millis) {
     totalRunMillis[step] += millis;
     finishedRuns[step]++;
   }
 
-  /** Returns how long the tasks of a step that are done ran on average; empty before any is. */
+  /**
+   * Returns the mean run time of the finished tasks of a step, in milliseconds; empty if there are
+   * none.
+   */
   OptionalDouble meanRunMillis(int step) {
     return finishedRuns[step] == 0
         ? OptionalDouble.empty()
@@ -97,8 +111,8 @@
   }
 
   boolean isComplete() {
-    for (int left : unfinishedTasks) {
-      if (left > 0) {
+    for (int remaining : unfinishedTasks) {
+      if (remaining > 0) {
         return false;
       }
     }
@@ -109,12 +123,12 @@
     long[] ends = new long[request.steps().size()];
     long longest = 0;
     for (int step = 0; step < ends.length; step++) {
-      WorkStep content = request.steps().get(step);
+      WorkStep definition = request.steps().get(step);
       long start = 0;
-      for (int before : content.predecessors()) {
-        start = Math.max(start, ends[before]);
+      for (int predecessor : definition.predecessors()) {
+        start = Math.max(start, ends[predecessor]);
       }
-      ends[step] = start + content.estimateMillis();
+      ends[step] = start + definition.estimateMillis();
       longest = Math.max(longest, ends[step]);
     }
     return longest;
--- a/burdockbay-core/src/main/java/org/burdockbay/core/lease/WorkTable.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/lease/WorkTable.java
@@ -10,17 +10,20 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The work that isn't answered yet, who waits for it, and what was answered lately.
+ * Keeps the work that isn't answered yet, the entry hosts that wait for it, and recent outcomes.
  *
- * <p>The same work submitted again joins what is under way, or gets the outcome that was told
- * before.
+ * <p>Work that is submitted again joins the work under way, or gets the outcome that was already
+ * reported.
  */
 final class WorkTable {
 
-  /** Outcomes are kept for entry hosts that ask again, in milliseconds. */
+  /** How long outcomes are retained for entry hosts that submit again, in milliseconds. */
   private static final long OUTCOME_RETENTION_MILLIS = 5_000;
 
-  /** Numbers of runs are kept for so many pieces of work; at 100 a second for some minutes. */
+  /**
+   * Maximum number of pieces of work whose run numbers are retained: some minutes' worth at 100
+   * pieces of work a second.
+   */
   private static final int MAX_RETAINED_RUN_NUMBERS = 20_000;
 
   private final String self;
@@ -40,12 +43,12 @@
     this.admission = admission;
   }
 
-  /** Returns the work that isn't answered. */
+  /** Returns the work that isn't answered yet. */
   Collection<WorkState> unansweredWork() {
     return works.values();
   }
 
-  /** Forgets everything but the numbers of runs: answers to them may still come. */
+  /** Discards all state but the run numbers: answers to these runs may still arrive. */
   void clear() {
     works.values().forEach(this::retainRunNumber);
     works.clear();
@@ -54,31 +57,31 @@
     refusals.clear();
   }
 
-  /** Notes that an entry host is alive. */
+  /** Records that a message of an entry host has arrived. */
   void recordContact(String entryHost) {
     lastContacts.merge(entryHost, context.arrivedAt(), Math::max);
   }
 
-  /** Takes submitted work up, or refuses it. */
+  /** Accepts or refuses submitted work. */
   void submit(LeaseEvent.Submitted submitted, LeaseTable leases) {
     String id = submitted.request().id();
     recordContact(submitted.entryHost());
-    RetainedOutcome kept = outcomes.get(id);
-    if (kept != null && context.now() - kept.decidedAt <= OUTCOME_RETENTION_MILLIS) {
-      report(submitted.entryHost(), id, kept.outcome);
+    RetainedOutcome retained = outcomes.get(id);
+    if (retained != null && context.now() - retained.decidedAt <= OUTCOME_RETENTION_MILLIS) {
+      report(submitted.entryHost(), id, retained.outcome);
       return;
     }
     RefusedTicket ticket = new RefusedTicket(submitted.entryHost(), submitted.ticket());
     RetainedOutcome refused = refusals.get(ticket);
     if (refused != null) {
-      // A repetition that crossed the refusal on its way. Starting it now would make the refusal,
-      // which promised that nothing runs, untrue.
+      // This repetition was sent before the refusal arrived. Starting the work now would contradict
+      // the refusal, which promised that nothing runs.
       report(submitted.entryHost(), id, refused.outcome);
       return;
     }
     WorkState known = works.get(id);
     if (known != null) {
-      // The same work again, from this or another entry host: it joins what is under way.
+      // The same work again, from this or another entry host: it joins the work under way.
       known.tickets.put(submitted.entryHost(), submitted.ticket());
       known.quietPeriodEndsAt =
           Math.max(known.quietPeriodEndsAt, context.now() + submitted.quietPeriodMillis());
@@ -87,7 +90,7 @@
     }
     boolean mayHaveRun = submitted.quietPeriodMillis() > 0 || highestRunNumbers.containsKey(id);
     if (mayHaveRun && context.waitedMillis() > AdmissionRule.MAX_WAIT_MILLIS) {
-      // It can't be refused as "not run", and is too old to start; the entry host repeats it.
+      // Such work can't be refused as "not run" and is too old to start; the entry host repeats it.
       context.logEvent("submission-late", "work=" + id + " waited=" + context.waitedMillis());
       return;
     }
@@ -95,8 +98,8 @@
         new WorkState(submitted.request(), context.arrivedAt() - submitted.ageMillis());
     work.tickets.put(submitted.entryHost(), submitted.ticket());
     work.quietPeriodEndsAt = context.now() + submitted.quietPeriodMillis();
-    // Dropped before, for an entry host that was lost and is back, or run by another dispatcher:
-    // "not run" can't be promised any more.
+    // The work may have been dropped here, for an entry host that was lost and is back, or run by
+    // another dispatcher, so it can no longer be refused as "not run".
     work.mayHaveStarted = mayHaveRun;
     works.put(id, work);
     long lastRun = highestRunNumbers.getOrDefault(id, 0L);
@@ -113,7 +116,10 @@
     }
   }
 
-  /** Refuses at once what no upstream can run, or none of this shard; others may then be asked. */
+  /**
+   * Refuses work immediately if no upstream, or none of this shard, can run it; in the latter case
+   * another shard may be tried.
+   */
   private void refuseImpossible(WorkState work, LeaseTable leases) {
     if (leases.allUpstreams().isEmpty() || work.mayHaveStarted) {
       return;
@@ -146,8 +152,8 @@
   /**
    * Drops the work of a lost entry host.
    *
-   * <p>Its caller comes again elsewhere, perhaps to a dispatcher on the other side of a partition.
-   * What runs here has to be over by then.
+   * <p>Its caller retries elsewhere, perhaps through a dispatcher on the other side of a partition.
+   * The runs here have to be over by then.
    */
   void entryHostLost(String entryHost) {
     List<String> lost =
@@ -167,7 +173,7 @@
     return exists ? work.steps.get(id.step()).get(id.index()) : null;
   }
 
-  /** Takes the result of a run of an earlier dispatcher. */
+  /** Handles the result of a run of an earlier dispatcher. */
   void resultFound(TaskId id) {
     TaskState task = findTask(id);
     if (task == null) {
@@ -216,7 +222,7 @@
     context.emit(new LeaseEffect.Report(host, id, outcome));
   }
 
-  /** Forgets work and stops what runs of it. */
+  /** Removes work and stops its runs. */
   private void drop(WorkState work) {
     works.remove(work.request.id());
     retainRunNumber(work);
@@ -232,24 +238,26 @@
     }
   }
 
-  /** Keeps the highest number of a run, so that no later run of the work gets the same one. */
+  /**
+   * Retains the highest run number of the work, so that no later run of it gets the same number.
+   */
   private void retainRunNumber(WorkState work) {
-    long highest = 0;
+    long highestRunNumber = 0;
     for (List<TaskState> tasks : work.steps) {
       for (TaskState task : tasks) {
-        highest = Math.max(highest, task.lastRunNumber);
+        highestRunNumber = Math.max(highestRunNumber, task.lastRunNumber);
       }
     }
-    if (highest > 0) {
-      highestRunNumbers.put(work.request.id(), highest);
+    if (highestRunNumber > 0) {
+      highestRunNumbers.put(work.request.id(), highestRunNumber);
     }
   }
 
   void tick() {
     dropLostEntryHosts();
     long now = context.now();
-    outcomes.values().removeIf(kept -> now - kept.decidedAt > OUTCOME_RETENTION_MILLIS);
-    refusals.values().removeIf(kept -> now - kept.decidedAt > OUTCOME_RETENTION_MILLIS);
+    outcomes.values().removeIf(retained -> now - retained.decidedAt > OUTCOME_RETENTION_MILLIS);
+    refusals.values().removeIf(retained -> now - retained.decidedAt > OUTCOME_RETENTION_MILLIS);
     if (highestRunNumbers.size() > MAX_RETAINED_RUN_NUMBERS) {
       highestRunNumbers.remove(highestRunNumbers.keySet().iterator().next());
     }
@@ -260,8 +268,8 @@
     List<String> silent =
         lastContacts.entrySet().stream()
             .filter(
-                heard ->
-                    context.now() - heard.getValue()
+                contact ->
+                    context.now() - contact.getValue()
                         > LeaseTiming.ENTRY_HOST_SILENCE_TIMEOUT_MILLIS)
             .map(Map.Entry::getKey)
             .filter(host -> !host.equals(self))
--- a/burdockbay-core/src/main/java/org/burdockbay/core/work/RunId.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/work/RunId.java
@@ -1,10 +1,10 @@
 package org.burdockbay.core.work;
 
 /**
- * One start of a task.
+ * Identifies one run of a task.
  *
  * @param task the task
- * @param number the number of the start; later starts of the task have higher numbers
+ * @param number the number of the run; later runs of the task have higher numbers
  */
 public record RunId(TaskId task, long number) {
 
--- a/burdockbay-core/src/main/java/org/burdockbay/core/work/TaskId.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/work/TaskId.java
@@ -1,7 +1,7 @@
 package org.burdockbay.core.work;
 
 /**
- * One task of a piece of work.
+ * Identifies one task of a piece of work.
  *
  * @param work the id of the work
  * @param step the number of the step, from 0
--- a/burdockbay-core/src/main/java/org/burdockbay/core/work/TaskSize.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/work/TaskSize.java
@@ -1,7 +1,7 @@
 package org.burdockbay.core.work;
 
 /**
- * What a task asks for, or what an upstream has.
+ * The resources that a task needs or that an upstream has.
  *
  * @param cpuMillicores processor, in thousandths of a core
  * @param memoryMegabytes memory, in megabytes
@@ -9,29 +9,29 @@
  */
 public record TaskSize(int cpuMillicores, int memoryMegabytes, int accelerators) {
 
-  /** No room at all. */
+  /** No resources at all. */
   public static final TaskSize ZERO = new TaskSize(0, 0, 0);
 
-  /** Returns whether this fits into the given room. */
-  public boolean fitsInto(TaskSize room) {
-    return cpuMillicores <= room.cpuMillicores
-        && memoryMegabytes <= room.memoryMegabytes
-        && accelerators <= room.accelerators;
+  /** Returns whether this size fits into the given capacity. */
+  public boolean fitsInto(TaskSize capacity) {
+    return cpuMillicores <= capacity.cpuMillicores
+        && memoryMegabytes <= capacity.memoryMegabytes
+        && accelerators <= capacity.accelerators;
   }
 
-  /** Returns how many of this size fit into the given room together. */
-  public int maxCountIn(TaskSize room) {
-    int times = Integer.MAX_VALUE;
-    times = Math.min(times, maxCount(cpuMillicores, room.cpuMillicores));
-    times = Math.min(times, maxCount(memoryMegabytes, room.memoryMegabytes));
-    return Math.min(times, maxCount(accelerators, room.accelerators));
+  /** Returns how many tasks of this size fit into the given capacity together. */
+  public int maxCountIn(TaskSize capacity) {
+    int count = Integer.MAX_VALUE;
+    count = Math.min(count, maxCount(cpuMillicores, capacity.cpuMillicores));
+    count = Math.min(count, maxCount(memoryMegabytes, capacity.memoryMegabytes));
+    return Math.min(count, maxCount(accelerators, capacity.accelerators));
   }
 
-  private static int maxCount(int each, int room) {
-    return each == 0 ? Integer.MAX_VALUE : Math.max(0, room / each);
+  private static int maxCount(int size, int capacity) {
+    return size == 0 ? Integer.MAX_VALUE : Math.max(0, capacity / size);
   }
 
-  /** Returns the sum. */
+  /** Returns the sum in each dimension. */
   public TaskSize plus(TaskSize other) {
     return new TaskSize(
         cpuMillicores + other.cpuMillicores,
@@ -39,7 +39,7 @@
         accelerators + other.accelerators);
   }
 
-  /** Returns the difference. */
+  /** Returns the difference in each dimension, which may be negative. */
   public TaskSize minus(TaskSize other) {
     return new TaskSize(
         cpuMillicores - other.cpuMillicores,
@@ -47,7 +47,7 @@
         accelerators - other.accelerators);
   }
 
-  /** Returns the larger of both in each respect. */
+  /** Returns the larger value in each dimension. */
   public TaskSize max(TaskSize other) {
     return new TaskSize(
         Math.max(cpuMillicores, other.cpuMillicores),
--- a/burdockbay-core/src/main/java/org/burdockbay/core/work/WorkOutcome.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/work/WorkOutcome.java
@@ -1,9 +1,9 @@
 package org.burdockbay.core.work;
 
-/** The one final answer to a {@link WorkRequest}. */
+/** The final outcome of a {@link WorkRequest}; each request has exactly one. */
 public sealed interface WorkOutcome {
 
-  /** Every task has finished. */
+  /** Every task has completed. */
   record Completed() implements WorkOutcome {}
 
   /** A task has failed as often as its queue allows. */
@@ -12,10 +12,10 @@
   /**
    * No task has run, and none will.
    *
-   * @param retryAfterMillis when the caller may come back, in milliseconds
+   * @param retryAfterMillis interval after which the caller may retry, in milliseconds
    */
   record NotRun(String reason, long retryAfterMillis) implements WorkOutcome {}
 
-  /** The work was given up, and a task of it may have run. */
+  /** The work was abandoned, and one of its tasks may have run. */
   record GivenUp(String reason) implements WorkOutcome {}
 }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/work/WorkRequest.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/work/WorkRequest.java
@@ -8,12 +8,13 @@
  * @param id the caller's id; a request with the same id is the same piece of work
  * @param queue the queue that the work was submitted to
  * @param service the service whose upstreams run the tasks
- * @param payload what the upstreams get to see
- * @param steps the steps, in the order in which they may refer to each other
- * @param priority the queue's priority; 0 comes first
- * @param maxAttempts how often a task may fail
- * @param stretch how many times the longest chain of work an answer may take to count as prompt
- * @param targetMillis what is added to that, in milliseconds
+ * @param payload the content that is passed to the upstreams
+ * @param steps the steps; a step refers only to earlier ones
+ * @param priority the queue's priority; 0 is the highest
+ * @param maxAttempts number of failures of a task after which the work fails
+ * @param stretch factor on the longest chain of estimated run times, up to which an answer counts
+ *     as prompt
+ * @param targetMillis time added to that product, in milliseconds
  * @param budgetMillis how long the caller waits, in milliseconds from the arrival
  */
 public record WorkRequest(
--- a/burdockbay-core/src/main/java/org/burdockbay/core/work/WorkStep.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/work/WorkStep.java
@@ -4,15 +4,16 @@
 import java.util.Optional;
 
 /**
- * Tasks of one kind within a piece of work.
+ * A number of like tasks within a piece of work.
  *
- * @param taskCount how many tasks the step has, at least 1
- * @param size what each task asks for
+ * @param taskCount number of tasks, at least 1
+ * @param size the resources that each task needs
  * @param estimateMillis the caller's rough estimate of a task's run time, in milliseconds
- * @param predecessors numbers of earlier steps that must have finished, counted from 0
- * @param requiredLabel a label that the upstream must carry
- * @param nearRack the rack that holds the data; empty if any rack does equally well
- * @param maxTasksPerUpstream how many tasks of the step one upstream may run; 0 for no limit
+ * @param predecessors numbers of earlier steps that must have completed, counted from 0
+ * @param requiredLabel a label that the upstream must have
+ * @param nearRack the rack that holds the data; empty if all racks are equally suitable
+ * @param maxTasksPerUpstream how many tasks of the step may run on one upstream at a time; 0 for no
+ *     limit
  */
 public record WorkStep(
     int taskCount,
@@ -31,7 +32,7 @@
     predecessors = List.copyOf(predecessors);
   }
 
-  /** Returns a step without conditions. */
+  /** Returns a step without constraints on its placement or order. */
   public static WorkStep of(int tasks, TaskSize size, long estimateMillis) {
     return new WorkStep(
         tasks, size, estimateMillis, List.of(), Optional.empty(), Optional.empty(), 0);
--- a/burdockbay-core/src/main/java/org/burdockbay/core/work/package-info.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/work/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Vocabulary of work whose tasks ask for processor, memory and accelerators.
+ * Types that describe work whose tasks need processor, memory and accelerators.
  *
- * <p>Everything here is immutable and knows no transport.
+ * <p>All types are immutable and independent of any transport.
  */
 package org.burdockbay.core.work;
