--- a/burdockbay-core/src/test/java/org/burdockbay/core/lease/HeavyLoadTest.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/lease/HeavyLoadTest.java
@@ -66,7 +66,7 @@
   @Test
   public void refusesEarlyWhatCannotStartInTime() {
     Outcome outcome = simulate(1.8);
-    assertTrue(outcome.longestRefusalOfChecks < 150, outcome.toString());
+    assertTrue(outcome.longestCheckRefusalMillis < 150, outcome.toString());
   }
 
   /**
@@ -162,5 +162,5 @@
     return new Outcome(inTime, lateRefusals, longest);
   }
 
-  private record Outcome(double inTime, double lateRefusals, long longestRefusalOfChecks) {}
+  private record Outcome(double inTime, double lateRefusals, long longestCheckRefusalMillis) {}
 }
--- a/burdockbay-core/src/test/java/org/burdockbay/core/lease/LeaseDispatcherTest.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/lease/LeaseDispatcherTest.java
@@ -665,15 +665,15 @@
   /** A host that owns one shard renewed leases on all upstreams, and had no time left for it. */
   @Test
   public void renewsLeasesInOwnShardOnly() {
-    changeScope(OTHER_SHARD, OWN_SHARD);
+    changeShards(OTHER_SHARD, OWN_SHARD);
     assertTrue(renewals(handle(new LeaseEvent.Announced(announcement("u1", 1, false)))).isEmpty());
-    assertEquals(renewals(changeScope(OWN_SHARD, OTHER_SHARD)).size(), 1, "taken over at once");
+    assertEquals(renewals(changeShards(OWN_SHARD, OTHER_SHARD)).size(), 1, "taken over at once");
   }
 
   /** A job was given up as impossible, though an upstream of another shard could run it. */
   @Test
   public void refusesWorkThatOnlyOtherShardsCanRun() {
-    changeScope(OTHER_SHARD, OWN_SHARD);
+    changeShards(OTHER_SHARD, OWN_SHARD);
     handle(new LeaseEvent.Announced(announcement("u1", 1, false)));
     WorkOutcome refusal = reports(submit("w", 1, HALF_CAPACITY)).getFirst().outcome();
     assertEquals(((WorkOutcome.NotRun) refusal).reason(), "no upstream of the shard can run it");
@@ -687,7 +687,7 @@
   public void finishesRunsOnUpstreamsThatLeaveShard() {
     UpstreamAnnouncement upstream = addUpstream("u1");
     RunId run = starts(submit("w", 1, HALF_CAPACITY)).getFirst().run();
-    changeScope(OTHER_SHARD, OWN_SHARD);
+    changeShards(OTHER_SHARD, OWN_SHARD);
     assertTrue(starts(submit("v", 1, HALF_CAPACITY)).isEmpty());
     LeaseEffect.Renew reading =
         renewals(answerOpenRenewal(upstream, List.of(run), List.of())).getFirst();
@@ -705,7 +705,7 @@
   public void ignoresRefusalsOfUpstreamsThatLeftShard() {
     UpstreamAnnouncement upstream = addUpstream("u1");
     submit("w", 1, HALF_CAPACITY);
-    changeScope(OTHER_SHARD, OWN_SHARD);
+    changeShards(OTHER_SHARD, OWN_SHARD);
     List<LeaseEffect> effects = new ArrayList<>();
     LeaseEffect.Renew open = openRenewals.getOrDefault("u1", firstRenewal(upstream));
     effects.addAll(answer(open, OrderResult.FENCED, List.of(), List.of()));
@@ -718,7 +718,7 @@
     assertEquals(logEvents(effects, "lease-over").size(), 1, "the run is over with its lease");
   }
 
-  private List<LeaseEffect> changeScope(ShardId own, ShardId other) {
+  private List<LeaseEffect> changeShards(ShardId own, ShardId other) {
     return handle(new LeaseEvent.ShardsChanged(own, Set.of(own, other)));
   }
 
--- a/burdockbay-core/src/test/java/org/burdockbay/core/lease/LeaseModel.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/lease/LeaseModel.java
@@ -29,7 +29,7 @@
   static final int TASK_CPU = 14_000;
 
   private static final List<String> DOMAINS = List.of("north", "south", "east");
-  private static final long FAULTS_SEED = 0x5DEECE66DL;
+  private static final long FAULT_SEED_MASK = 0x5DEECE66DL;
 
   private static final long CALLER_RETRY_DELAY_MILLIS = 1_300;
   static final long CALLER_TIMEOUT_MILLIS = 2_500;
@@ -103,7 +103,7 @@
       long beginsAtMillis) {
     now = beginsAtMillis;
     random = new SplittableRandom(seed);
-    faultRandom = new SplittableRandom(seed ^ FAULTS_SEED);
+    faultRandom = new SplittableRandom(seed ^ FAULT_SEED_MASK);
     this.network = network;
     this.layout = layout;
     this.isFullSize = (seed & 2) == 0;
@@ -172,7 +172,7 @@
   }
 
   private void reconnect(Link link, ModelEntryHost one, ModelEntryHost other) {
-    if (!connected(one.domain, other.domain)) {
+    if (!isConnected(one.domain, other.domain)) {
       schedule(RECONNECT_INTERVAL_MILLIS, () -> reconnect(link, one, other));
       return;
     }
@@ -229,7 +229,7 @@
   }
 
   /** Returns whether two domains can reach each other. */
-  boolean connected(String one, String other) {
+  boolean isConnected(String one, String other) {
     return one.equals(other) || !(isolatedDomains.contains(one) || isolatedDomains.contains(other));
   }
 
@@ -359,7 +359,7 @@
       upstream.sequence++;
       var notice = upstream.announcement();
       for (ModelEntryHost host : hosts.values()) {
-        if (connected(upstream.domain, host.domain)) {
+        if (isConnected(upstream.domain, host.domain)) {
           host.deliver(5 + random.nextLong(100), () -> host.receiveAnnouncement(notice));
         }
       }
--- a/burdockbay-core/src/test/java/org/burdockbay/core/lease/ModelEntryHost.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/lease/ModelEntryHost.java
@@ -354,7 +354,7 @@
       return;
     }
     LeaseModel.Link link = model.link(this, other);
-    if (!model.connected(domain, other.domain)) {
+    if (!model.isConnected(domain, other.domain)) {
       link.lossy = true;
     } else {
       model.reconnectIfLossy(link, this, other);
@@ -386,7 +386,7 @@
       deliverWork(0, action);
     } else if (model.orderedDelivery) {
       send(other, () -> other.queueWork(action));
-    } else if (model.connected(domain, other.domain)) {
+    } else if (model.isConnected(domain, other.domain)) {
       other.deliverWork(model.randomLatencyMillis(domain, other.domain), action);
     }
   }
@@ -395,7 +395,7 @@
     for (MembershipEffect effect : effects) {
       switch (effect) {
         case MembershipEffect.Claim claim -> {
-          changeScope(claim.shard(), membership.routes());
+          notifyShardsChanged(claim.shard(), membership.routes());
           dispatch(new LeaseEvent.RoleGained(claim.epoch()));
           sendHeartbeats();
         }
@@ -416,7 +416,7 @@
   }
 
   private void applyRoutes(RouteView view) {
-    membership.claimedShard().ifPresent(own -> changeScope(own, view));
+    membership.claimedShard().ifPresent(own -> notifyShardsChanged(own, view));
     Map<ShardId, IntakeEvent.Dispatcher> known = new HashMap<>();
     view.shards()
         .forEach(
@@ -425,7 +425,7 @@
     handleIntake(new IntakeEvent.DispatchersChanged(known));
   }
 
-  private void changeScope(ShardId own, RouteView view) {
+  private void notifyShardsChanged(ShardId own, RouteView view) {
     dispatch(new LeaseEvent.ShardsChanged(own, view.liveShards()));
   }
 
@@ -548,7 +548,7 @@
       LeaseEvent unanswered) {
     ModelUpstream upstream = upstream(notice);
     Call call = new Call(unanswered, waitMillis + LeaseTiming.DEFAULT.answerTimeoutMillis());
-    if (!model.connected(domain, upstream.domain)) {
+    if (!model.isConnected(domain, upstream.domain)) {
       return;
     }
     if (model.random().nextDouble() < model.delayedCallShare) {
@@ -584,7 +584,7 @@
                 List.of(),
                 List.of()),
             renew.waitMillis() + renew.answerTimeoutMillis());
-    if (model.connected(domain, upstream.domain)
+    if (model.isConnected(domain, upstream.domain)
         && model.random().nextDouble() >= model.delayedCallShare) {
       model.schedule(
           model.randomLatencyMillis(domain, upstream.domain),
@@ -614,7 +614,7 @@
 
     void answer(LeaseEvent answer, ModelUpstream upstream) {
       boolean lost = model.random().nextDouble() < model.lostAnswerShare;
-      if (!lost && model.connected(domain, upstream.domain)) {
+      if (!lost && model.isConnected(domain, upstream.domain)) {
         deliverWork(
             model.randomLatencyMillis(upstream.domain, domain),
             arrivedAt -> finish(answer, arrivedAt));
--- a/burdockbay-core/src/test/java/org/burdockbay/core/lease/ModelUpstream.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/lease/ModelUpstream.java
@@ -25,7 +25,7 @@
   final double clockRate;
   private final LeaseModel model;
   private final Map<RunId, Run> running = new LinkedHashMap<>();
-  private final Map<TaskId, Long> highestEnded = new HashMap<>();
+  private final Map<TaskId, Long> highestEndedRuns = new HashMap<>();
   private final List<RunEnd> ended = new ArrayList<>();
   private final List<OpenRenewal> openRenewals = new ArrayList<>();
   boolean up = true;
@@ -56,7 +56,7 @@
     up = false;
     List.copyOf(running.keySet()).forEach(run -> end(run, null));
     ended.clear();
-    highestEnded.clear();
+    highestEndedRuns.clear();
     openRenewals.clear();
     token = 0;
     leaseEndsAt = 0;
@@ -103,7 +103,7 @@
     boolean older =
         running.keySet().stream()
             .anyMatch(run -> run.task().equals(id.task()) && run.number() >= id.number());
-    if (older || highestEnded.getOrDefault(id.task(), 0L) >= id.number()) {
+    if (older || highestEndedRuns.getOrDefault(id.task(), 0L) >= id.number()) {
       return OrderResult.OLD;
     }
     int used = running.size() * LeaseModel.TASK_CPU;
@@ -124,7 +124,7 @@
     if (refusal != null) {
       return refusal;
     }
-    highestEnded.merge(stop.run().task(), stop.run().number(), Math::max);
+    highestEndedRuns.merge(stop.run().task(), stop.run().number(), Math::max);
     Run run = running.get(stop.run());
     if (run != null) {
       model.schedule(model.random().nextLong(50), () -> endIfRunning(run, RunEnd.Cause.CUT_SHORT));
@@ -200,7 +200,7 @@
 
   private void end(RunId id, RunEnd.Cause cause) {
     running.remove(id);
-    highestEnded.merge(id.task(), id.number(), Math::max);
+    highestEndedRuns.merge(id.task(), id.number(), Math::max);
     model.recordEnd(id, this, cause);
     if (cause != null) {
       lastEndNumber++;
