--- a/burdockbay-core/src/main/java/org/burdockbay/core/fleet/UpstreamAnnouncement.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/fleet/UpstreamAnnouncement.java
@@ -4,17 +4,18 @@
 import org.burdockbay.core.work.TaskSize;
 
 /**
- * What an upstream says of itself.
+ * Describes an upstream, as announced by itself.
  *
- * @param id its id; a restarted upstream may carry the id that it had before
- * @param startedAt the time of its start, in milliseconds since 1970; tells its lives apart
- * @param sequence rises with each announcement of one life
- * @param service the service whose tasks it runs
- * @param address IP address and port of its interface
+ * @param id the id of the upstream; a restarted upstream may keep its id
+ * @param startedAt the time at which the upstream started, in milliseconds since the Unix epoch;
+ *     distinguishes its instances
+ * @param sequence the number of the announcement, rising within one instance
+ * @param service the service whose tasks the upstream runs
+ * @param address the IP address and port of its interface
  * @param domain its failure domain
- * @param leaving whether it is about to leave and takes no new tasks
- * @param capacity what all its tasks together may ask for
- * @param labels its labels; the rack is one of them
+ * @param leaving whether it is about to leave and accepts no new tasks
+ * @param capacity the resources available to all its tasks together
+ * @param labels its labels, including the rack
  */
 public record UpstreamAnnouncement(
     String id,
@@ -27,7 +28,7 @@
     TaskSize capacity,
     Set<String> labels) {
 
-  /** Copies the set. */
+  /** Copies the labels. */
   public UpstreamAnnouncement {
     labels = Set.copyOf(labels);
   }
@@ -38,12 +39,12 @@
         || (startedAt == other.startedAt && sequence > other.sequence);
   }
 
-  /** Returns whether both come from the same life of the upstream. */
+  /** Returns whether both announcements come from the same instance of the upstream. */
   public boolean isSameInstance(UpstreamAnnouncement other) {
     return id.equals(other.id) && startedAt == other.startedAt;
   }
 
-  /** Returns whether this announcement says the same as another one, but for its sequence. */
+  /** Returns whether this announcement equals another one, apart from the sequence number. */
   public boolean hasSameContent(UpstreamAnnouncement other) {
     return equals(other.withSequence(sequence));
   }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/fleet/UpstreamRegistry.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/fleet/UpstreamRegistry.java
@@ -8,15 +8,15 @@
 import java.util.Optional;
 
 /**
- * The newest announcement of each upstream, with its age.
+ * Holds the newest announcement of each upstream, with its age.
  *
- * <p>Announcements reach a host over several ways and in any order; one from an earlier life or
- * with a lower sequence changes nothing. A departure is remembered for a while, so that an
- * announcement that was held up on the network doesn't bring the upstream back.
+ * <p>Announcements reach a host over several paths and in any order; those of an earlier instance
+ * or with a lower sequence number are ignored. Departures are retained for a while, so that an
+ * announcement that was delayed on the network doesn't add a departed upstream again.
  */
 public final class UpstreamRegistry {
 
-  /** How long a departure is remembered, in milliseconds; announcements are held up for seconds. */
+  /** Time for which a departure is retained; announcements may be delayed by seconds. */
   public static final long DEPARTURE_RETENTION_MILLIS = 30_000;
 
   private final long silenceTimeoutMillis;
@@ -26,32 +26,33 @@
   /**
    * Creates an empty registry.
    *
-   * @param silenceMillis silence after which an upstream is dropped, in milliseconds
+   * @param silenceTimeoutMillis the silence after which an upstream is removed, in milliseconds
    */
-  public UpstreamRegistry(long silenceMillis) {
-    this.silenceTimeoutMillis = silenceMillis;
+  public UpstreamRegistry(long silenceTimeoutMillis) {
+    this.silenceTimeoutMillis = silenceTimeoutMillis;
   }
 
   /**
-   * Takes an announcement.
+   * Records an announcement unless it is outdated.
    *
-   * @param ageMillis how long ago it was made, as far as known
-   * @return whether it was newer than what was known
+   * @param ageMillis the known age of the announcement, in milliseconds
+   * @param now the current time in milliseconds
+   * @return whether it was recorded
    */
-  public boolean recordAnnouncement(UpstreamAnnouncement notice, long ageMillis, long now) {
-    Departure departure = departures.get(notice.id());
-    if (departure != null && notice.startedAt() <= departure.startedAt) {
+  public boolean recordAnnouncement(UpstreamAnnouncement announcement, long ageMillis, long now) {
+    Departure departure = departures.get(announcement.id());
+    if (departure != null && announcement.startedAt() <= departure.startedAt) {
       return false;
     }
-    Entry known = entries.get(notice.id());
-    if (known != null && !notice.isNewerThan(known.announcement)) {
+    Entry known = entries.get(announcement.id());
+    if (known != null && !announcement.isNewerThan(known.announcement)) {
       return false;
     }
-    entries.put(notice.id(), new Entry(notice, now - ageMillis));
+    entries.put(announcement.id(), new Entry(announcement, now - ageMillis));
     return true;
   }
 
-  /** Notes that an upstream has left; returns its last announcement, if it was known. */
+  /** Removes an upstream that has left, and returns its last announcement if there is one. */
   public Optional<UpstreamAnnouncement> recordDeparture(String id, long now) {
     Entry known = entries.remove(id);
     if (known == null) {
@@ -61,38 +62,41 @@
     return Optional.of(known.announcement);
   }
 
-  /** Drops upstreams that went silent and returns them. */
+  /** Removes silent upstreams, and returns their last announcements. */
   public List<UpstreamAnnouncement> expireSilentUpstreams(long now) {
     departures
         .values()
         .removeIf(departure -> now - departure.departedAt > DEPARTURE_RETENTION_MILLIS);
-    List<UpstreamAnnouncement> lost = new ArrayList<>();
+    List<UpstreamAnnouncement> expired = new ArrayList<>();
     entries
         .values()
         .removeIf(
             entry -> {
               boolean silent = now - entry.announcedAt > silenceTimeoutMillis;
               if (silent) {
-                lost.add(entry.announcement);
+                expired.add(entry.announcement);
               }
               return silent;
             });
-    return lost;
+    return expired;
   }
 
-  /** Returns the newest announcement of an upstream, if it is known. */
+  /** Returns the newest announcement of an upstream; empty if there is none. */
   public Optional<UpstreamAnnouncement> announcement(String id) {
     return Optional.ofNullable(entries.get(id)).map(entry -> entry.announcement);
   }
 
-  /** Returns all that are known. */
+  /** Returns the newest announcement of every registered upstream. */
   public Collection<UpstreamAnnouncement> announcements() {
     return entries.values().stream().map(entry -> entry.announcement).toList();
   }
 
-  /** Returns how long ago the newest announcement was made, in milliseconds. */
-  public long ageMillis(UpstreamAnnouncement notice, long now) {
-    Entry known = entries.get(notice.id());
+  /**
+   * Returns the age of the newest announcement of the same upstream, in milliseconds; 0 if there is
+   * none.
+   */
+  public long ageMillis(UpstreamAnnouncement announcement, long now) {
+    Entry known = entries.get(announcement.id());
     return known == null ? 0 : now - known.announcedAt;
   }
 
--- a/burdockbay-core/src/main/java/org/burdockbay/core/fleet/package-info.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/fleet/package-info.java
@@ -1,2 +1,2 @@
-/** The upstreams that have announced themselves: soft state, rebuilt from announcements. */
+/** Registry of announced upstreams: soft state that is rebuilt from their announcements. */
 package org.burdockbay.core.fleet;
--- a/burdockbay-core/src/main/java/org/burdockbay/core/intake/IntakeEffect.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/intake/IntakeEffect.java
@@ -3,10 +3,16 @@
 import org.burdockbay.core.work.WorkOutcome;
 import org.burdockbay.core.work.WorkRequest;
 
-/** What a {@link WorkIntake} wants done. */
+/** An action that a {@link WorkIntake} requests from its host. */
 public sealed interface IntakeEffect {
 
-  /** Submits work to a dispatcher. */
+  /**
+   * Submits work to a dispatcher.
+   *
+   * @param ageMillis the time since the caller's request arrived, in milliseconds
+   * @param quietPeriodMillis the time during which the dispatcher must start no run of the work,
+   *     because runs of an earlier dispatcher may continue, in milliseconds
+   */
   record Submit(
       IntakeEvent.Dispatcher to,
       long ticket,
@@ -15,13 +21,21 @@
       long quietPeriodMillis)
       implements IntakeEffect {}
 
-  /** Tells a dispatcher that the caller has left. */
+  /** Notifies a dispatcher that nobody waits for the work any more at this host. */
   record Cancel(IntakeEvent.Dispatcher to, String workId) implements IntakeEffect {}
 
-  /** Answers a caller, finally. */
+  /**
+   * Sends a caller its only answer.
+   *
+   * @param ageMillis the time since the caller's request arrived, in milliseconds
+   */
   record Answer(long ticket, WorkRequest request, long ageMillis, WorkOutcome outcome)
       implements IntakeEffect {}
 
-  /** A decision for the log; {@code fields} are key=value pairs. */
+  /**
+   * Writes an event to the log.
+   *
+   * @param fields the event's attributes as {@code key=value} pairs
+   */
   record LogEvent(String event, String fields) implements IntakeEffect {}
 }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/intake/IntakeEvent.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/intake/IntakeEvent.java
@@ -6,26 +6,30 @@
 import org.burdockbay.core.work.WorkOutcome;
 import org.burdockbay.core.work.WorkRequest;
 
-/** What happens to a {@link WorkIntake}. */
+/** An event that a {@link WorkIntake} handles. */
 public sealed interface IntakeEvent {
 
-  /** A caller submits work; {@code ticket} names its connection. */
+  /**
+   * A caller has submitted work.
+   *
+   * @param ticket identifies the connection of the caller
+   */
   record RequestReceived(long ticket, WorkRequest request) implements IntakeEvent {}
 
   /** A caller has closed its connection. */
   record CallerDisconnected(long ticket) implements IntakeEvent {}
 
   /**
-   * A dispatcher tells an outcome.
+   * A dispatcher has reported the outcome of work.
    *
-   * @param from the dispatcher's host
+   * @param from the id of the dispatcher's host
    */
   record OutcomeReported(String from, String workId, WorkOutcome outcome) implements IntakeEvent {}
 
   /**
-   * Who dispatches has changed.
+   * The set of dispatchers has changed.
    *
-   * @param dispatchers the host and token of each shard that has a dispatcher
+   * @param dispatchers the dispatcher of each shard that has one
    */
   record DispatchersChanged(Map<ShardId, Dispatcher> dispatchers) implements IntakeEvent {
 
@@ -35,18 +39,23 @@
     }
   }
 
-  /** A host has told how much room the upstreams of its shard have. */
+  /** A host has reported the free capacity of the upstreams of its shard. */
   record LoadReported(String host, DomainLoad load) implements IntakeEvent {}
 
-  /** The connection to a host is new, so messages on the earlier one may be lost. */
+  /** A new connection to a host was opened; messages on the previous one may be lost. */
   record PeerReconnected(String host) implements IntakeEvent {}
 
-  /** A message of a host arrived, which may dispatch. */
+  /** A message has arrived from a host, which may be a dispatcher. */
   record DispatcherMessageReceived(String host) implements IntakeEvent {}
 
-  /** Time passes. */
+  /** Triggers the periodic checks of timeouts. */
   record Tick() implements IntakeEvent {}
 
-  /** A host with the token under which it dispatches. */
+  /**
+   * Identifies a dispatcher in one tenure of its role.
+   *
+   * @param host the id of its host
+   * @param token the fencing token under which it dispatches
+   */
   record Dispatcher(String host, long token) {}
 }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/intake/PendingWork.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/intake/PendingWork.java
@@ -8,43 +8,47 @@
 import org.burdockbay.core.shard.ShardId;
 import org.burdockbay.core.work.WorkRequest;
 
-/** Work that callers wait for at this host, or have just ceased to wait for. */
+/**
+ * Work that callers wait for at this host, or waited for until recently.
+ *
+ * <p>Points in time are in milliseconds of the clock of {@link WorkIntake}.
+ */
 final class PendingWork {
 
   final String id;
 
-  /** The callers that wait, by ticket. */
+  /** The waiting callers by ticket, in the order of their arrival. */
   final Map<Long, Caller> callers = new LinkedHashMap<>();
 
-  /** The shard that it was given to; it stays there as long as the shard has a dispatcher. */
+  /** The shard to which the work is assigned while that shard has a dispatcher. */
   Optional<ShardId> shard = Optional.empty();
 
-  /** The dispatcher that has it; empty before it was submitted and after a refusal. */
+  /** The dispatcher that has the work; empty before submission and after a refusal. */
   Optional<IntakeEvent.Dispatcher> submittedTo = Optional.empty();
 
-  /** The hosts that have refused it. */
+  /** The ids of the hosts that have refused the work. */
   final Set<String> refusedBy = new HashSet<>();
 
-  /** When the dispatcher that has it was heard last, in milliseconds. */
+  /** The time of the last message from the dispatcher that has the work. */
   long lastContactAt;
 
-  /** When it was submitted last, by any of its callers, in milliseconds. */
+  /** The time of the last submission to a dispatcher, for any of the callers. */
   long lastSubmittedAt;
 
-  /** Until when runs that an earlier dispatcher started may go on, in milliseconds. */
+  /** The time until which runs that an earlier dispatcher started may continue. */
   long quietPeriodEndsAt;
 
-  /** Whether a dispatcher that gave no answer had it. */
+  /** Whether the work was moved away from a dispatcher that hadn't reported an outcome. */
   boolean mayHaveRun;
 
-  /** When the last caller was answered or left, in milliseconds. */
+  /** The time at which a caller was last answered or disconnected. */
   long idleSince;
 
   PendingWork(String id) {
     this.id = id;
   }
 
-  /** A caller that waits. */
+  /** A waiting caller. */
   static final class Caller {
 
     final long ticket;
--- a/burdockbay-core/src/main/java/org/burdockbay/core/intake/ShardSelector.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/intake/ShardSelector.java
@@ -12,14 +12,15 @@
 import org.burdockbay.core.work.WorkStep;
 
 /**
- * Chooses the shard that is to serve a piece of work.
+ * Selects the shard that serves a piece of work.
  *
- * <p>The better one of a few that a hash of the work names: what hosts tell of their room is old by
- * a heartbeat, and if all entry hosts took the emptiest shard they would fill it at once.
+ * <p>Compares only a few candidates, which are chosen by a hash of the work's id. Reported loads
+ * are up to one heartbeat old; if all entry hosts selected the least loaded shard, they would
+ * overload it at once.
  */
 final class ShardSelector {
 
-  /** So many shards are compared for one piece of work. */
+  /** The number of shards that are compared for one piece of work. */
   private static final int MAX_CANDIDATES = 2;
 
   private static final int MILLICORES_PER_CORE = 1_000;
@@ -30,45 +31,46 @@
   private ShardMap shards = ShardMap.of(Set.of());
 
   /**
-   * Creates a choice among no shards.
+   * Creates a selector without shards.
    *
-   * @param ownDomain the failure domain whose shards go first while they have room
+   * @param ownDomain the failure domain whose shards are preferred while they have free capacity
    */
   ShardSelector(String ownDomain) {
     this.ownDomain = ownDomain;
   }
 
-  /** Takes note of who dispatches; what others told of their room is forgotten. */
+  /** Replaces the dispatchers, and discards the loads of hosts that aren't among them. */
   void updateDispatchers(Map<ShardId, IntakeEvent.Dispatcher> changed) {
     dispatchers = changed;
     shards = ShardMap.of(changed.keySet());
     loads.keySet().retainAll(changed.values().stream().map(IntakeEvent.Dispatcher::host).toList());
   }
 
-  /** Takes note of how much room a host's shard has. */
+  /** Records the load of a host's shard; ignored if the host isn't a dispatcher. */
   void updateLoad(String host, DomainLoad load) {
     if (dispatchers.values().stream().anyMatch(dispatcher -> dispatcher.host().equals(host))) {
       loads.put(host, load);
     }
   }
 
-  /** Returns the shard for new work; empty while there is no dispatcher. */
+  /** Returns the shard for new work; empty if there is no dispatcher. */
   Optional<ShardId> select(WorkRequest request) {
     return selectBest(request, shards.preferenceOrder(request.id()));
   }
 
   /**
-   * Returns a shard for work that others have refused; empty unless one has told of room.
+   * Returns a shard for work that other shards have refused; empty if no other shard has reported
+   * enough free capacity.
    *
-   * @param refusedBy the hosts that were asked already
+   * @param refusedBy the ids of the hosts that have refused the work
    */
   Optional<ShardId> selectAlternative(WorkRequest request, Set<String> refusedBy) {
-    List<ShardId> roomy =
+    List<ShardId> withCapacity =
         shards.preferenceOrder(request.id()).stream()
             .filter(shard -> !refusedBy.contains(dispatchers.get(shard).host()))
             .filter(shard -> freeCores(shard) >= requiredCores(request))
             .toList();
-    return selectBest(request, roomy);
+    return selectBest(request, withCapacity);
   }
 
   private Optional<ShardId> selectBest(WorkRequest request, List<ShardId> preferred) {
@@ -82,8 +84,8 @@
   }
 
   private boolean isBetter(ShardId shard, ShardId best, int cores) {
-    boolean bothHaveRoom = freeCores(shard) >= cores && freeCores(best) >= cores;
-    if (bothHaveRoom && isInOwnDomain(shard) != isInOwnDomain(best)) {
+    boolean bothHaveCapacity = freeCores(shard) >= cores && freeCores(best) >= cores;
+    if (bothHaveCapacity && isInOwnDomain(shard) != isInOwnDomain(best)) {
       return isInOwnDomain(shard);
     }
     return freeCores(shard) > freeCores(best);
@@ -93,13 +95,13 @@
     return shard.domain().equals(ownDomain);
   }
 
-  /** Returns the free cores of a shard as last told; 0 if its dispatcher has told nothing yet. */
+  /** Returns the last reported number of free cores of a shard; 0 if none was reported yet. */
   private int freeCores(ShardId shard) {
     DomainLoad load = loads.get(dispatchers.get(shard).host());
     return load == null ? 0 : load.freeSlots();
   }
 
-  /** Returns the cores that the tasks take which can start at once; at least 1. */
+  /** Returns the cores that the tasks of all steps without predecessors require; at least 1. */
   private static int requiredCores(WorkRequest request) {
     long millicores = 0;
     for (WorkStep step : request.steps()) {
--- a/burdockbay-core/src/main/java/org/burdockbay/core/intake/WorkIntake.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/intake/WorkIntake.java
@@ -12,39 +12,41 @@
 import org.burdockbay.core.work.WorkOutcome;
 
 /**
- * Keeps callers' work at the entry host that they reached, and answers each caller once.
+ * Holds callers' work at the entry host that received it, and answers each caller once.
  *
- * <p>The work goes to the dispatcher of a shard, and again to its successor. Runs that the earlier
- * dispatcher started may go on for a while, so the successor is told for how long nothing may
- * start. Work that a shard refuses is offered to others that have room. Not safe for use by several
- * threads.
+ * <p>Work is submitted to the dispatcher of a shard, and resubmitted to that dispatcher's
+ * successor. Runs that the earlier dispatcher started may continue for a while, so each submission
+ * carries a quiet period in which the successor must not start the work. Work that a shard refuses
+ * is offered to other shards that have free capacity.
+ *
+ * <p>Not thread-safe.
  */
 public final class WorkIntake {
 
-  /** Work without an outcome is submitted again after this, in milliseconds; messages get lost. */
+  /** Interval at which work without an outcome is resubmitted, as messages may be lost. */
   private static final long SUBMISSION_RETRY_INTERVAL_MILLIS = 400;
 
-  /** When a caller may come back if no dispatcher was found in time, in milliseconds. */
+  /** Time after which a caller may retry if no dispatcher was found in time. */
   private static final long RETRY_AFTER_MILLIS = 1_000;
 
-  /** Longest wait for a dispatcher, in milliseconds: an election and a few heartbeats. */
+  /** Longest wait for any dispatcher: the duration of an election and a few heartbeats. */
   private static final long DISPATCHER_TIMEOUT_MILLIS = 1_000;
 
-  /** Longest wait for the dispatcher of one shard while others have one, in milliseconds. */
+  /** Longest wait for the dispatcher of one shard while other shards have one. */
   private static final long SUCCESSOR_TIMEOUT_MILLIS = DISPATCHER_TIMEOUT_MILLIS / 2;
 
-  /** Work is offered to so many further shards at most after it was refused. */
+  /** Maximum number of further shards to which refused work is offered. */
   private static final int MAX_SPILLS = 2;
 
   /**
-   * How long cancellations and what is known of answered work are kept, in milliseconds: longer
-   * than a caller whose connection broke takes to come again.
+   * Time for which cancellations and the state of answered work are retained. Exceeds the time in
+   * which a caller whose connection broke retries.
    */
   private static final long RETENTION_MILLIS = 1_500;
 
   /**
-   * A dispatcher that isn't heard for longer is replaced, unless this host stood still; in
-   * milliseconds. The time after which a host counts as lost, and a few ticks.
+   * Silence after which a dispatcher has been replaced, unless this host was paused. The time after
+   * which a host is considered lost, plus a few ticks.
    */
   private static final long MAX_DISPATCHER_SILENCE_MILLIS = 600;
 
@@ -61,50 +63,56 @@
   private long now;
 
   /**
-   * Creates an intake that knows no dispatcher yet.
+   * Creates an intake without dispatchers.
    *
    * @param self the id of this host
    * @param domain the failure domain of this host
-   * @param runsOnMillis for how long a dispatcher that this host doesn't hear any more may keep
-   *     runs of its work alive, in milliseconds
+   * @param maxOrphanedRunMillis the longest time for which runs of this host's work may continue
+   *     after the last contact with their dispatcher, in milliseconds
    */
-  public WorkIntake(String self, String domain, long runsOnMillis) {
+  public WorkIntake(String self, String domain, long maxOrphanedRunMillis) {
     this.self = self;
-    this.maxOrphanedRunMillis = runsOnMillis;
+    this.maxOrphanedRunMillis = maxOrphanedRunMillis;
     this.shardSelector = new ShardSelector(domain);
   }
 
-  /** Handles an event and returns what is to be done. */
+  /**
+   * Handles an event.
+   *
+   * @param time the current time in milliseconds; a time before that of an earlier event is ignored
+   * @return the actions to carry out, in order
+   */
   public List<IntakeEffect> handle(IntakeEvent event, long time) {
     now = Math.max(now, time);
     switch (event) {
-      case IntakeEvent.RequestReceived opened -> acceptRequest(opened);
-      case IntakeEvent.CallerDisconnected left -> handleDisconnect(left.ticket());
+      case IntakeEvent.RequestReceived received -> acceptRequest(received);
+      case IntakeEvent.CallerDisconnected disconnected -> handleDisconnect(disconnected.ticket());
       case IntakeEvent.OutcomeReported reported -> handleOutcome(reported);
       case IntakeEvent.DispatchersChanged changed -> updateDispatchers(changed.dispatchers());
-      case IntakeEvent.LoadReported told -> shardSelector.updateLoad(told.host(), told.load());
-      case IntakeEvent.DispatcherMessageReceived heard -> recordContact(heard.host());
-      case IntakeEvent.PeerReconnected reset -> resendAfterReconnect(reset.host());
+      case IntakeEvent.LoadReported report ->
+          shardSelector.updateLoad(report.host(), report.load());
+      case IntakeEvent.DispatcherMessageReceived received -> recordContact(received.host());
+      case IntakeEvent.PeerReconnected reconnected -> resendAfterReconnect(reconnected.host());
       case IntakeEvent.Tick tick -> tick();
     }
-    List<IntakeEffect> taken = effects;
+    List<IntakeEffect> result = effects;
     effects = new ArrayList<>();
-    return taken;
+    return result;
   }
 
-  /** Returns the number of callers that wait. */
+  /** Returns the number of waiting callers. */
   public int waitingCallers() {
     return workByTicket.size();
   }
 
-  private void acceptRequest(IntakeEvent.RequestReceived opened) {
-    PendingWork work = workById.computeIfAbsent(opened.request().id(), PendingWork::new);
-    PendingWork.Caller caller = new PendingWork.Caller(opened.ticket(), opened.request(), now);
+  private void acceptRequest(IntakeEvent.RequestReceived received) {
+    PendingWork work = workById.computeIfAbsent(received.request().id(), PendingWork::new);
+    PendingWork.Caller caller = new PendingWork.Caller(received.ticket(), received.request(), now);
     if (work.callers.isEmpty()) {
       work.refusedBy.clear();
     }
-    work.callers.put(opened.ticket(), caller);
-    workByTicket.put(opened.ticket(), work);
+    work.callers.put(received.ticket(), caller);
+    workByTicket.put(received.ticket(), work);
     submit(work, caller);
   }
 
@@ -125,35 +133,40 @@
     if (work == null || work.callers.isEmpty()) {
       return;
     }
-    boolean askedLast =
+    boolean fromCurrentDispatcher =
         work.submittedTo
             .map(IntakeEvent.Dispatcher::host)
             .filter(reported.from()::equals)
             .isPresent();
     switch (reported.outcome()) {
-      case WorkOutcome.NotRun notRun when askedLast -> handleRefusal(work, notRun);
-      case WorkOutcome.GivenUp givenUp when askedLast -> answerAll(work, givenUp);
-      case WorkOutcome.Completed completed -> acceptFinalOutcome(work, completed, askedLast);
-      case WorkOutcome.Failed failed -> acceptFinalOutcome(work, failed, askedLast);
+      case WorkOutcome.NotRun notRun when fromCurrentDispatcher -> handleRefusal(work, notRun);
+      case WorkOutcome.GivenUp givenUp when fromCurrentDispatcher -> answerAll(work, givenUp);
+      case WorkOutcome.Completed completed ->
+          acceptFinalOutcome(work, completed, fromCurrentDispatcher);
+      case WorkOutcome.Failed failed -> acceptFinalOutcome(work, failed, fromCurrentDispatcher);
       case WorkOutcome.NotRun late -> logOutdatedReport(work, reported.from());
       case WorkOutcome.GivenUp late -> logOutdatedReport(work, reported.from());
     }
   }
 
-  /** Takes an outcome that holds whichever dispatcher tells it. */
-  private void acceptFinalOutcome(PendingWork work, WorkOutcome outcome, boolean askedLast) {
-    if (!askedLast) {
+  /** Answers all callers with an outcome that is valid whichever dispatcher reports it. */
+  private void acceptFinalOutcome(
+      PendingWork work, WorkOutcome outcome, boolean fromCurrentDispatcher) {
+    if (!fromCurrentDispatcher) {
       cancel(work);
     }
     answerAll(work, outcome);
   }
 
-  /** What an earlier dispatcher doesn't run may run under the one that has the work now. */
+  /**
+   * Logs a report of an earlier dispatcher without using it: work that this dispatcher doesn't run
+   * may be run by the one that has the work now.
+   */
   private void logOutdatedReport(PendingWork work, String from) {
     logEvent("report-outdated", work, work.callers.values().iterator().next(), " from=" + from);
   }
 
-  /** Offers refused work to another shard; the caller is refused once none is left. */
+  /** Offers refused work to another shard, or refuses the callers if there is none. */
   private void handleRefusal(PendingWork work, WorkOutcome.NotRun notRun) {
     PendingWork.Caller first = work.callers.values().iterator().next();
     work.submittedTo.map(IntakeEvent.Dispatcher::host).ifPresent(work.refusedBy::add);
@@ -171,27 +184,27 @@
     submitAll(work);
   }
 
-  /** Claims that nothing has run only where no earlier dispatcher may have run something. */
+  /** Returns the refusal, or a given-up outcome if an earlier dispatcher may have run the work. */
   private static WorkOutcome refusalOutcome(PendingWork work, WorkOutcome.NotRun notRun) {
     return work.mayHaveRun ? new WorkOutcome.GivenUp(notRun.reason()) : notRun;
   }
 
-  private void updateDispatchers(Map<ShardId, IntakeEvent.Dispatcher> changed) {
-    if (changed.equals(dispatchers)) {
+  private void updateDispatchers(Map<ShardId, IntakeEvent.Dispatcher> current) {
+    if (current.equals(dispatchers)) {
       return;
     }
     updateLastContacts();
-    Set<IntakeEvent.Dispatcher> appeared = new HashSet<>(changed.values());
+    Set<IntakeEvent.Dispatcher> appeared = new HashSet<>(current.values());
     appeared.removeAll(dispatchers.values());
     appeared.forEach(dispatcher -> lastContactAt.put(dispatcher.host(), now));
     dispatchers.keySet().forEach(shard -> withoutDispatcherSince.putIfAbsent(shard, now));
-    withoutDispatcherSince.keySet().removeAll(changed.keySet());
-    dispatchers = changed;
-    shardSelector.updateDispatchers(changed);
+    withoutDispatcherSince.keySet().removeAll(current.keySet());
+    dispatchers = current;
+    shardSelector.updateDispatchers(current);
     workById.values().stream().filter(this::needsResubmission).forEach(this::submitAll);
   }
 
-  /** Returns whether the dispatcher that is to have the work isn't the one that has it. */
+  /** Returns whether the work is unassigned or its shard's dispatcher isn't the one that has it. */
   private boolean needsResubmission(PendingWork work) {
     return work.shard.isEmpty() || !work.submittedTo.equals(dispatcherOf(work));
   }
@@ -205,8 +218,8 @@
   }
 
   /**
-   * Notes when each dispatcher was heard last for the work that it has; this host hears itself all
-   * the time.
+   * Updates the time of last contact with the dispatcher of each piece of work. This host is always
+   * in contact with itself.
    */
   private void updateLastContacts() {
     lastContactAt.put(self, now);
@@ -218,7 +231,7 @@
     }
   }
 
-  /** Repeats what the earlier connection to a host may have lost. */
+  /** Resends the messages that the previous connection to a host may have lost. */
   private void resendAfterReconnect(String host) {
     cancellations.keySet().stream()
         .filter(cancel -> cancel.to().host().equals(host))
@@ -239,12 +252,17 @@
     dispatcherOf(work).ifPresent(target -> submitTo(target, work, caller));
   }
 
+  /** Returns whether the work's shard is vacant and another shard may take the work. */
   private boolean mayLeaveShard(PendingWork work) {
-    Long since = work.shard.map(withoutDispatcherSince::get).orElse(null);
-    return since != null && (now - since >= SUCCESSOR_TIMEOUT_MILLIS || hasLayoutChanged(work));
+    Long vacantSince = work.shard.map(withoutDispatcherSince::get).orElse(null);
+    return vacantSince != null
+        && (now - vacantSince >= SUCCESSOR_TIMEOUT_MILLIS || hasLayoutChanged(work));
   }
 
-  /** Returns whether the fleet was divided, or united, since the work got its shard. */
+  /**
+   * Returns whether the fleet was divided into shards, or merged into one, since the work was
+   * assigned to its shard.
+   */
   private boolean hasLayoutChanged(PendingWork work) {
     return work.shard.filter(ShardId.WHOLE_FLEET::equals).isPresent()
         || dispatchers.containsKey(ShardId.WHOLE_FLEET);
@@ -272,16 +290,16 @@
     work.quietPeriodEndsAt =
         Math.max(work.quietPeriodEndsAt, orphanedSince(work) + maxOrphanedRunMillis);
     work.mayHaveRun = true;
-    // In a cut of one direction the earlier dispatcher may hear this host and go on.
+    // In a one-way partition the earlier dispatcher may still receive messages and continue.
     cancel(work);
     logEvent("work-moved", work, caller, " to=" + target.host() + " token=" + target.token());
   }
 
   /**
-   * Tells the dispatcher that has the work to drop it.
+   * Cancels the work at the dispatcher that has it.
    *
-   * <p>The caller may come again at another host, which may ask another shard. So this is repeated
-   * if the connection breaks that may have lost it.
+   * <p>The caller may retry at another host, which may select another shard. The cancellation is
+   * therefore retained, and resent if the connection breaks, as it may have been lost.
    */
   private void cancel(PendingWork work) {
     work.submittedTo.ifPresent(
@@ -293,20 +311,21 @@
   }
 
   /**
-   * Returns from when on the dispatcher that has the work may have missed this host, in
+   * Returns the time of the last contact between this host and the dispatcher that has the work, in
    * milliseconds.
    *
-   * <p>Usually that is when it was heard last. A host that stood still submits, before it learns
-   * what has changed, to a dispatcher that it hasn't heard for long and that may be alive.
+   * <p>Usually this is the time of the dispatcher's last message. A host that was paused may submit
+   * work, before it discovers what has changed, to a dispatcher that has long been silent but is
+   * still alive; then it is the time of the submission.
    */
   private static long orphanedSince(PendingWork work) {
-    boolean longUnheard = work.lastSubmittedAt - work.lastContactAt > MAX_DISPATCHER_SILENCE_MILLIS;
-    return longUnheard ? work.lastSubmittedAt : work.lastContactAt;
+    boolean wasSilent = work.lastSubmittedAt - work.lastContactAt > MAX_DISPATCHER_SILENCE_MILLIS;
+    return wasSilent ? work.lastSubmittedAt : work.lastContactAt;
   }
 
   private void tick() {
     updateLastContacts();
-    cancellations.values().removeIf(at -> now - at > RETENTION_MILLIS);
+    cancellations.values().removeIf(cancelledAt -> now - cancelledAt > RETENTION_MILLIS);
     workById
         .values()
         .removeIf(work -> work.callers.isEmpty() && now - work.idleSince > RETENTION_MILLIS);
@@ -327,11 +346,11 @@
   }
 
   private void giveUp(PendingWork work, PendingWork.Caller caller, String reason) {
-    boolean neverLeft = work.submittedTo.isEmpty() && !work.mayHaveRun;
+    boolean neverSubmitted = work.submittedTo.isEmpty() && !work.mayHaveRun;
     answer(
         work,
         caller,
-        neverLeft
+        neverSubmitted
             ? new WorkOutcome.NotRun(reason, RETRY_AFTER_MILLIS)
             : new WorkOutcome.GivenUp(reason));
     if (work.callers.isEmpty()) {
--- a/burdockbay-core/src/main/java/org/burdockbay/core/intake/package-info.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/intake/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The entry host's part in serving work: it keeps each caller's request until the outcome comes,
- * whichever dispatcher that comes from.
+ * Handling of callers' work at the entry host: holds each request until its outcome arrives,
+ * whichever dispatcher reports it.
  */
 package org.burdockbay.core.intake;
--- a/burdockbay-core/src/main/java/org/burdockbay/core/shard/RendezvousHash.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/shard/RendezvousHash.java
@@ -1,6 +1,6 @@
 package org.burdockbay.core.shard;
 
-/** The weights of rendezvous hashing; the same on every host. */
+/** Computes the weights of rendezvous hashing, which are the same on every host. */
 final class RendezvousHash {
 
   private static final long HASH_SEED = 0x9E3779B97F4A7C15L;
@@ -8,7 +8,7 @@
 
   private RendezvousHash() {}
 
-  /** Mixes key and shard (FNV-1a, then the finalizer of SplitMix64). */
+  /** Returns the hash of a key and a shard: FNV-1a, then the finalizer of SplitMix64. */
   static long weight(String key, ShardId shard) {
     long hash = mix(HASH_SEED, key);
     hash = mix(hash, shard.domain());
--- a/burdockbay-core/src/main/java/org/burdockbay/core/shard/ShardAssignment.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/shard/ShardAssignment.java
@@ -7,10 +7,10 @@
 import java.util.TreeSet;
 
 /**
- * Which host is first in line for which shard without a dispatcher.
+ * Assigns hosts to the shards without a dispatcher, as the first candidates to claim them.
  *
- * <p>Shards choose in their order, each the host of the highest weight among those that are left.
- * So a pair that goes, because its host has claimed its shard, changes none of the others, and all
+ * <p>Each shard, in natural order, gets the host of the highest weight among the remaining ones.
+ * Once a host has claimed its shard, both drop out without changing the other pairs, so that all
  * shards are claimed in one round.
  */
 public final class ShardAssignment {
@@ -18,23 +18,23 @@
   private ShardAssignment() {}
 
   /**
-   * Returns the host for each shard; the last shards get none where there are too few hosts.
+   * Returns the host for each shard; if there are too few hosts, the last shards get none.
    *
-   * @param vacant shards without a dispatcher, of one failure domain
-   * @param free hosts of that domain that may take one
+   * @param vacant the shards of one failure domain that have no dispatcher
+   * @param free the ids of the hosts of that domain that may claim a shard
    */
   public static Map<ShardId, String> of(Collection<ShardId> vacant, Collection<String> free) {
-    TreeSet<String> left = new TreeSet<>(free);
-    Map<ShardId, String> match = new LinkedHashMap<>();
+    TreeSet<String> remaining = new TreeSet<>(free);
+    Map<ShardId, String> assignment = new LinkedHashMap<>();
     for (ShardId shard : new TreeSet<>(vacant)) {
-      left.stream()
+      remaining.stream()
           .max(Comparator.comparingLong(host -> RendezvousHash.weight(host, shard)))
           .ifPresent(
               host -> {
-                left.remove(host);
-                match.put(shard, host);
+                remaining.remove(host);
+                assignment.put(shard, host);
               });
     }
-    return match;
+    return assignment;
   }
 }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/shard/ShardLayout.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/shard/ShardLayout.java
@@ -4,36 +4,41 @@
 import java.util.stream.IntStream;
 
 /**
- * Into how many shards each failure domain is divided.
+ * Specifies into how many shards each failure domain is divided.
  *
- * <p>Layouts only grow while any host remembers one: hosts adopt the largest that they hear of, so
- * that they agree within a heartbeat, and upstreams that come and go move no ownership.
+ * <p>A layout only grows as long as any host retains it: hosts adopt the largest layout that they
+ * receive. So they agree within a heartbeat, and upstreams that join or leave change no ownership.
  *
- * @param shardsPerDomain the number of shards in each domain; 0 while one dispatcher owns all
+ * @param shardsPerDomain the number of shards in each domain; 0 if one dispatcher owns all
+ *     upstreams
  */
 public record ShardLayout(int shardsPerDomain) {
 
   /** The layout of a fleet that one dispatcher owns as a whole. */
   public static final ShardLayout UNDIVIDED = new ShardLayout(0);
 
-  /** A fleet up to this number of upstreams has one dispatcher, whose pool serves bursts best. */
+  /**
+   * Maximum number of upstreams of an undivided fleet. A single pool absorbs bursts best, so small
+   * fleets have one dispatcher.
+   */
   private static final int MAX_UNDIVIDED_UPSTREAMS = 64;
 
-  /** The number of upstreams that a shard is meant to have. */
+  /** The target number of upstreams of a shard. */
   private static final int UPSTREAMS_PER_SHARD = 24;
 
-  /** Checks the number. */
+  /** Checks that the number isn't negative. */
   public ShardLayout {
     if (shardsPerDomain < 0) {
-      throw new IllegalArgumentException(shardsPerDomain + " shards");
+      throw new IllegalArgumentException(
+          "shardsPerDomain is " + shardsPerDomain + ", must not be negative");
     }
   }
 
   /**
-   * Returns the layout that suits a fleet.
+   * Returns the layout for a fleet of the given size.
    *
-   * @param upstreams the number of upstreams known
-   * @param domains the number of failure domains that they are in
+   * @param upstreams the number of upstreams
+   * @param domains the number of their failure domains
    */
   public static ShardLayout of(int upstreams, int domains) {
     if (upstreams <= MAX_UNDIVIDED_UPSTREAMS || domains == 0) {
@@ -47,18 +52,18 @@
     return shardsPerDomain == 0;
   }
 
-  /** Returns the larger one of two layouts. */
+  /** Returns the larger of this and another layout. */
   public ShardLayout larger(ShardLayout other) {
     return shardsPerDomain >= other.shardsPerDomain ? this : other;
   }
 
   /** Returns whether a shard is part of this layout. */
   public boolean contains(ShardId shard) {
-    boolean whole = shard.equals(ShardId.WHOLE_FLEET);
-    return undivided() ? whole : !whole && shard.index() < shardsPerDomain;
+    boolean isWholeFleet = shard.equals(ShardId.WHOLE_FLEET);
+    return undivided() ? isWholeFleet : !isWholeFleet && shard.index() < shardsPerDomain;
   }
 
-  /** Returns the shards that hosts of a failure domain may own. */
+  /** Returns the shards that hosts of a failure domain may claim. */
   public List<ShardId> shards(String domain) {
     if (undivided()) {
       return List.of(ShardId.WHOLE_FLEET);
--- a/burdockbay-core/src/main/java/org/burdockbay/core/shard/ShardMap.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/shard/ShardMap.java
@@ -6,10 +6,10 @@
 import java.util.Optional;
 
 /**
- * Which shard owns which upstream, by rendezvous hashing.
+ * Maps upstreams to the shards that own them, by rendezvous hashing.
  *
- * <p>An upstream belongs to a shard of its own failure domain. Where the domain has none, any other
- * one takes it. A shard that appears or goes moves only the upstreams that it gains or leaves.
+ * <p>An upstream belongs to a shard of its own failure domain, or to any shard if its domain has
+ * none. Adding or removing a shard moves only the upstreams that this shard gains or loses.
  */
 public final class ShardMap {
 
@@ -19,23 +19,29 @@
     this.shards = shards;
   }
 
-  /** Returns the map of the given shards; the order in which they are given doesn't matter. */
+  /** Returns the map of the given shards; their order and duplicates don't matter. */
   public static ShardMap of(Collection<ShardId> shards) {
     return new ShardMap(shards.stream().distinct().sorted().toList());
   }
 
-  /** Returns the shards. */
+  /** Returns the shards in their natural order. */
   public List<ShardId> shards() {
     return shards;
   }
 
-  /** Returns the shard that owns an upstream of a failure domain; empty if there are no shards. */
+  /**
+   * Returns the shard that owns an upstream; empty if there are no shards.
+   *
+   * @param upstream the id of the upstream
+   * @param domain the failure domain of the upstream
+   */
   public Optional<ShardId> owner(String upstream, String domain) {
-    List<ShardId> near = shards.stream().filter(shard -> shard.domain().equals(domain)).toList();
-    return withHighestWeight(upstream, near.isEmpty() ? shards : near);
+    List<ShardId> inDomain =
+        shards.stream().filter(shard -> shard.domain().equals(domain)).toList();
+    return withHighestWeight(upstream, inDomain.isEmpty() ? shards : inDomain);
   }
 
-  /** Returns the shards in the order in which they are to be tried for a key, best first. */
+  /** Returns the shards in descending order of their weight for a key. */
   public List<ShardId> preferenceOrder(String key) {
     return shards.stream().sorted(byWeight(key).reversed()).toList();
   }
--- a/burdockbay-core/src/test/java/org/burdockbay/core/lease/LeaseModel.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/lease/LeaseModel.java
@@ -20,9 +20,9 @@
 import org.burdockbay.core.work.WorkStep;
 
 /**
- * Hosts, upstreams, callers and the network between them in simulated time, and the oracle: no two
- * runs of a task overlap, refused work has not run, completed work has, and everybody who waits is
- * answered.
+ * Simulates hosts, upstreams, callers and the network between them in simulated time, and checks
+ * the guarantees: no two runs of a task overlap, refused work has not run, completed work has run,
+ * and every waiting caller is answered.
  */
 final class LeaseModel {
 
@@ -34,7 +34,7 @@
   private static final long CALLER_RETRY_DELAY_MILLIS = 1_300;
   static final long CALLER_TIMEOUT_MILLIS = 2_500;
 
-  /** Time after the last fault by which callers are served again, by the stated aim. */
+  /** The stated objective for the time from the last fault until callers are served again. */
   static final long MAX_RECOVERY_MILLIS = 12_000;
 
   private static final long RECONNECT_INTERVAL_MILLIS = 100;
@@ -52,32 +52,38 @@
   private final Set<String> startedWork = new HashSet<>();
   private final Set<String> refusedWork = new HashSet<>();
 
-  /** Work whose first submission got no answer; a refusal of a later one says nothing about it. */
+  /**
+   * Work whose first submission got no answer. A refusal of a later submission doesn't prove that
+   * the work has not run.
+   */
   private final Set<String> resubmittedWork = new HashSet<>();
 
   final Map<String, ModelEntryHost> hosts = new LinkedHashMap<>();
   final List<ModelUpstream> upstreams = new ArrayList<>();
   final Set<String> isolatedDomains = new HashSet<>();
 
-  /** Whether connections between hosts break, and hosts are told. */
+  /** Whether connections between hosts break, and hosts are notified of new ones. */
   boolean breaksConnections;
 
   /**
-   * Whether what one host sends to another arrives in that order, and is lost with the connection.
-   * Otherwise each submission and cancellation takes a time of its own.
+   * Whether messages from one host to another arrive in the order of sending, and are lost with the
+   * connection. Otherwise each submission and cancellation has its own latency.
    */
   boolean orderedDelivery;
 
-  /** Share of calls to upstreams that aren't answered and carried out seconds later. */
+  /** Share of calls to upstreams that are carried out seconds later and never answered. */
   double delayedCallShare;
 
-  /** Share of calls to upstreams that are carried out and whose answer is lost. */
+  /** Share of calls to upstreams that are carried out, but whose answer is lost. */
   double lostAnswerShare;
 
-  /** What handling an event takes of a host's processor, in microseconds; 0 for no limit. */
+  /** Processor time of a host for one event, in microseconds; 0 for an unlimited processor. */
   long eventMicros;
 
-  /** Whether the fleet is as large as the layout is meant for; in half of the plays only later. */
+  /**
+   * Whether the fleet has reached the size for its layout. In half of the simulations this happens
+   * only later.
+   */
   private boolean isFullSize;
 
   int answers;
@@ -93,15 +99,19 @@
     this(seed, network, layout, hostsInDomain, upstreamsInDomain, 1_000_000);
   }
 
-  /** Creates a model that begins at a time of day, in milliseconds since 1970. */
+  /**
+   * Creates a model.
+   *
+   * @param startTimeMillis the time of day at the start, in milliseconds since the Unix epoch
+   */
   LeaseModel(
       long seed,
       Network network,
       ShardLayout layout,
       int hostsInDomain,
       int upstreamsInDomain,
-      long beginsAtMillis) {
-    now = beginsAtMillis;
+      long startTimeMillis) {
+    now = startTimeMillis;
     random = new SplittableRandom(seed);
     faultRandom = new SplittableRandom(seed ^ FAULT_SEED_MASK);
     this.network = network;
@@ -132,17 +142,20 @@
     return random;
   }
 
-  /** Random numbers of the faults that came later, so that earlier plays stay as they were. */
+  /**
+   * Returns the generator for broken connections. It is separate from {@link #random()}, so that
+   * the seeds of simulations without broken connections yield the same sequence of events.
+   */
   SplittableRandom faultRandom() {
     return faultRandom;
   }
 
-  /** Lets the fleet grow, so that hosts divide it as they hear of its upstreams. */
+  /** Grows the fleet to full size, so that hosts divide it as they receive announcements. */
   void growFleet() {
     isFullSize = true;
   }
 
-  /** Returns the layout that suits the fleet as large as it is by now. */
+  /** Returns the layout for the current size of the fleet. */
   ShardLayout layout() {
     return isFullSize ? layout : ShardLayout.UNDIVIDED;
   }
@@ -151,7 +164,11 @@
     return links.computeIfAbsent(Set.of(one, other), pair -> new Link());
   }
 
-  /** Resets the connections between two hosts; what is on its way is lost. */
+  /**
+   * Resets the connections between two hosts; messages in transit are lost.
+   *
+   * @param millis the time until the hosts reconnect
+   */
   void resetConnections(ModelEntryHost one, ModelEntryHost other, long millis) {
     Link link = link(one, other);
     if (!link.down) {
@@ -163,7 +180,7 @@
     }
   }
 
-  /** A connection that has lost a message in a cut is a new one once the cut is over. */
+  /** Replaces a connection that has lost a message in a partition which is over. */
   void reconnectIfLossy(Link link, ModelEntryHost one, ModelEntryHost other) {
     if (breaksConnections && link.lossy && !link.down) {
       link.lossy = false;
@@ -187,11 +204,11 @@
 
   void schedule(long millis, Runnable action) {
     sequence++;
-    long place = network == Network.SIMULTANEOUS ? random.nextLong() : sequence;
-    queue.add(new ScheduledAction(now + Math.max(0, millis), place, action));
+    long position = network == Network.SIMULTANEOUS ? random.nextLong() : sequence;
+    queue.add(new ScheduledAction(now + Math.max(0, millis), position, action));
   }
 
-  /** Runs everything that is due within the given time. */
+  /** Advances the time, and runs all actions that become due. */
   void advance(long millis) {
     long until = now + millis;
     while (!queue.isEmpty() && queue.peek().at <= until) {
@@ -202,24 +219,24 @@
     now = until;
   }
 
-  /** Returns how long a message between two domains takes this time, in milliseconds. */
+  /** Returns a random latency for a message between two domains, in milliseconds. */
   long randomLatencyMillis(String from, String to) {
-    boolean near = network == Network.SIMULTANEOUS && from.equals(to);
-    return near ? random.nextLong(2) : 1 + random.nextLong(3);
+    boolean mayBeInstant = network == Network.SIMULTANEOUS && from.equals(to);
+    return mayBeInstant ? random.nextLong(2) : 1 + random.nextLong(3);
   }
 
-  /** Returns for how long a host's control thread is busy before it handles what has arrived. */
+  /** Returns a random time until a host's control thread is free to handle a batch of events. */
   long randomBusyMillis() {
     boolean busy = network == Network.SIMULTANEOUS && random.nextInt(8) == 0;
     return busy ? 1 + random.nextLong(6) : 0;
   }
 
-  /** Returns how long a host needs for a piece of work beyond what it has queued. */
+  /** Returns a random time that a host needs to handle an event which concerns work. */
   long randomHandlingMillis() {
     return !faultsEnded && random.nextInt(4) == 0 ? random.nextLong(MAX_HANDLING_MILLIS) : 0;
   }
 
-  /** Returns whether work waits at hosts that are behind. */
+  /** Returns whether events that concern work are delayed at lagging hosts. */
   boolean delaysWork() {
     return network == Network.LAGGING;
   }
@@ -238,7 +255,7 @@
     return up.get(random.nextInt(up.size()));
   }
 
-  /** A caller submits new work at some host. */
+  /** Submits new work of a caller at a random host. */
   void submit(int tasks) {
     submittedWork++;
     WorkStep step = WorkStep.of(tasks, new TaskSize(TASK_CPU, 64, 0), 20 + random.nextLong(600));
@@ -257,7 +274,7 @@
     submitAt(anyHost(), request);
   }
 
-  /** The caller's connection broke: the work comes again later, at any host. */
+  /** Resubmits the work of a caller whose connection broke, later and at a random host. */
   void resubmitLater(WorkRequest request) {
     resubmittedWork.add(request.id());
     schedule(CALLER_RETRY_DELAY_MILLIS, () -> submitAt(anyHost(), request));
@@ -272,17 +289,20 @@
         for (int index = 0; index < request.steps().getFirst().taskCount(); index++) {
           TaskId task = new TaskId(request.id(), 0, index);
           check(
-              finishedRuns.containsKey(task), request.id() + " is said to be done without " + task);
+              finishedRuns.containsKey(task),
+              request.id() + " was reported as completed without a finished run of " + task);
         }
       }
       case WorkOutcome.NotRun refused -> {
         if (!resubmittedWork.contains(request.id())) {
-          check(!startedWork.contains(request.id()), request.id() + " is said not to have run");
+          check(
+              !startedWork.contains(request.id()),
+              request.id() + " was reported as not run, but a run of it has started");
           refusedWork.add(request.id());
         }
       }
       default -> {
-        // Nothing is promised about work that failed or was given up.
+        // There is no guarantee about work that failed or was given up.
       }
     }
   }
@@ -293,7 +313,7 @@
     startedWork.add(run.task().work());
     check(!refusedWork.contains(run.task().work()), run + " starts after a refusal");
     ModelUpstream other = runningOn.put(run.task(), upstream);
-    check(other == null, run + " starts on " + upstream.id + " and runs on " + idOf(other));
+    check(other == null, run + " starts on " + upstream.id + " while it runs on " + idOf(other));
   }
 
   void recordEnd(RunId run, ModelUpstream upstream, RunEnd.Cause cause) {
@@ -308,7 +328,7 @@
     host.kill();
   }
 
-  /** Ends all faults, and checks that nobody waits for ever. */
+  /** Ends all faults, and checks that all waiting callers are answered and new work is served. */
   void recoverAndVerify() {
     faultsEnded = true;
     isolatedDomains.clear();
@@ -325,7 +345,9 @@
         });
     advance(MAX_RECOVERY_MILLIS);
     for (ModelEntryHost host : hosts.values()) {
-      check(host.waitingCallers() == 0, host.name + " owes " + host.waitingCallers() + " answers");
+      check(
+          host.waitingCallers() == 0,
+          host.name + " has " + host.waitingCallers() + " unanswered callers");
     }
     int before = completed;
     for (int i = 0; i < 6; i++) {
@@ -333,10 +355,15 @@
       advance(300);
     }
     advance(5_000);
-    check(completed - before == 6, "only " + (completed - before) + " of 6 are served after all");
+    check(
+        completed - before == 6,
+        "only " + (completed - before) + " of 6 jobs are completed after all faults have ended");
   }
 
-  /** Prints a line of the play if {@code -Dfuzz.trace=WORD} names a word of it, or the word all. */
+  /**
+   * Prints a line of the simulation's trace if it contains the value of the system property {@code
+   * fuzz.trace}, or if that value is {@code all}.
+   */
   void trace(String who, String line) {
     String wanted = System.getProperty("fuzz.trace", "");
     if (!wanted.isEmpty() && (wanted.equals("all") || line.contains(wanted))) {
@@ -344,9 +371,9 @@
     }
   }
 
-  static void check(boolean condition, String complaint) {
+  static void check(boolean condition, String message) {
     if (!condition) {
-      throw new AssertionError(complaint);
+      throw new AssertionError(message);
     }
   }
 
@@ -357,10 +384,10 @@
   private void announcePeriodically(ModelUpstream upstream) {
     if (upstream.up) {
       upstream.sequence++;
-      var notice = upstream.announcement();
+      var announcement = upstream.announcement();
       for (ModelEntryHost host : hosts.values()) {
         if (isConnected(upstream.domain, host.domain)) {
-          host.deliver(5 + random.nextLong(100), () -> host.receiveAnnouncement(notice));
+          host.deliver(5 + random.nextLong(100), () -> host.receiveAnnouncement(announcement));
         }
       }
     }
@@ -371,16 +398,16 @@
     return upstream == null ? "none" : upstream.id;
   }
 
-  /** How finely time is told against what happens in it. */
+  /** The timing of messages and the order in which hosts handle them. */
   enum Network {
-    /** Each message takes a millisecond or more, and each event is handled by itself. */
+    /** Each message takes at least one millisecond, and each event is handled individually. */
     DISTINCT_TIMES,
     /**
-     * Messages within a domain may arrive in the millisecond in which they were sent, what happens
-     * in one millisecond happens in any order, and a host handles what has gathered as one batch.
+     * Messages within a domain may arrive in the millisecond in which they were sent, events of one
+     * millisecond occur in any order, and a host handles several events as one batch.
      */
     SIMULTANEOUS,
-    /** Work waits at a host that is behind, and control messages overtake it. */
+    /** Events that concern work wait at lagging hosts, and control messages overtake them. */
     LAGGING
   }
 
@@ -389,7 +416,7 @@
 
     boolean down;
 
-    /** Whether a message was lost in a cut. */
+    /** Whether a message was lost in a partition. */
     boolean lossy;
 
     long generation;
@@ -400,20 +427,22 @@
     }
   }
 
-  /** One direction of a connection: messages that haven't arrived, in the order of sending. */
+  /** One direction of a connection: the messages in transit, in the order of sending. */
   static final class MessageChannel {
 
     private final Deque<Runnable> inTransit = new ArrayDeque<>();
     private long lastArrivesAt;
 
-    /** Sends a message; returns when it arrives, not before those sent earlier. */
+    /**
+     * Sends a message, and returns its time of arrival, which is not before that of earlier ones.
+     */
     long send(Runnable message, long earliestAt) {
       inTransit.add(message);
       lastArrivesAt = Math.max(lastArrivesAt, earliestAt);
       return lastArrivesAt;
     }
 
-    /** Returns the message under way that was sent first. */
+    /** Removes and returns the message in transit that was sent first. */
     Runnable receive() {
       return inTransit.remove();
     }
--- a/burdockbay-core/src/test/java/org/burdockbay/core/lease/LoadSimulation.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/lease/LoadSimulation.java
@@ -28,15 +28,15 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A dispatcher, sound upstreams of unequal size, and callers with three kinds of jobs, in simulated
- * time. Tells what the callers got.
+ * Simulates the load on a dispatcher in simulated time: healthy upstreams of unequal size, and
+ * callers with three kinds of jobs. Collects statistics of the answers to callers.
  *
- * <p>Or several dispatchers, one for each shard, and entry hosts that choose among them by loads
- * that are old by up to a heartbeat.
+ * <p>In a divided fleet, there is one dispatcher for each shard, and entry hosts choose among them
+ * by loads that are up to one heartbeat old.
  */
 final class LoadSimulation {
 
-  /** Tasks of 14 of 32 or 48 cores: two or three fit into an upstream. */
+  /** Mean size of a task, in millicores: two or three tasks fit into 32 or 48 cores. */
   private static final int TASK_CPU = 14_000;
 
   private static final int UPSTREAMS = 33;
@@ -48,7 +48,7 @@
   private static final long TARGET_MILLIS = 60;
   private static final double STRETCH = 1.6;
 
-  /** How far a caller's estimate may be off, either way. */
+  /** Maximum relative error of a caller's estimate, in either direction. */
   private static final double MAX_ESTIMATE_ERROR = 0.4;
 
   private final SplittableRandom random;
@@ -65,7 +65,7 @@
   private double currentTraffic = 1;
   private final Deque<QueuedEvent> inbox = new ArrayDeque<>();
 
-  /** What the processor needs for an event or an effect, in microseconds. */
+  /** Processor time of the dispatcher for one event or effect, in microseconds; 0 for no limit. */
   private long eventMicros;
 
   private long busyUntilMicros;
@@ -75,7 +75,11 @@
     this(seed, UPSTREAMS, ShardLayout.UNDIVIDED);
   }
 
-  /** Creates a play with traffic in proportion to the upstreams. */
+  /**
+   * Creates a simulation with traffic in proportion to the number of upstreams.
+   *
+   * @param count the number of upstreams
+   */
   LoadSimulation(long seed, int count, ShardLayout layout) {
     random = new SplittableRandom(seed);
     trafficScale = (double) count / UPSTREAMS;
@@ -109,12 +113,13 @@
   }
 
   private void startEntryHosts(Set<ShardId> shards) {
-    Map<ShardId, IntakeEvent.Dispatcher> known = new HashMap<>();
-    shards.forEach(shard -> known.put(shard, new IntakeEvent.Dispatcher(shard.toString(), TOKEN)));
+    Map<ShardId, IntakeEvent.Dispatcher> dispatcherByShard = new HashMap<>();
+    shards.forEach(
+        shard -> dispatcherByShard.put(shard, new IntakeEvent.Dispatcher(shard.toString(), TOKEN)));
     for (int i = 0; i < ENTRY_HOSTS; i++) {
       String entry = "entry" + i;
       intakes.put(entry, new WorkIntake(entry, DOMAINS.get(i % DOMAINS.size()), 1_225));
-      notifyIntake(entry, new IntakeEvent.DispatchersChanged(known));
+      notifyIntake(entry, new IntakeEvent.DispatchersChanged(dispatcherByShard));
     }
     for (String host : dispatchers.keySet()) {
       schedule(random.nextLong(HEARTBEAT_INTERVAL_MILLIS), () -> reportLoad(host));
@@ -122,13 +127,13 @@
   }
 
   private void reportLoad(String host) {
-    DomainLoad told = dispatchers.get(host).load();
+    DomainLoad load = dispatchers.get(host).load();
     schedule(
         2,
         () ->
             intakes
                 .keySet()
-                .forEach(it -> notifyIntake(it, new IntakeEvent.LoadReported(host, told))));
+                .forEach(it -> notifyIntake(it, new IntakeEvent.LoadReported(host, load))));
     schedule(HEARTBEAT_INTERVAL_MILLIS, () -> reportLoad(host));
   }
 
@@ -149,9 +154,10 @@
                             submit.ageMillis(),
                             submit.quietPeriodMillis())));
         case IntakeEffect.Answer answer -> recordAnswer(answer.request().id(), answer.outcome());
-        case IntakeEffect.LogEvent note -> spills += note.event().equals("work-spilled") ? 1 : 0;
+        case IntakeEffect.LogEvent logged ->
+            spills += logged.event().equals("work-spilled") ? 1 : 0;
         case IntakeEffect.Cancel cancel -> {
-          // Of work whose time is over.
+          // Concerns only work whose caller has timed out.
         }
       }
     }
@@ -161,23 +167,27 @@
     applyEffects(host, dispatchers.get(host).handle(event, now));
   }
 
-  /** Plays a while at a multiple of the usual traffic, which takes 0.72 of all room. */
+  /**
+   * Runs the simulation for some time.
+   *
+   * @param traffic the multiple of the usual traffic, which takes 0.72 of the capacity
+   */
   void run(double traffic, long millis) {
     currentTraffic = traffic;
     advance(millis);
   }
 
-  /** Gives the dispatcher a processor that needs some time for each event and effect. */
+  /** Limits the dispatcher's processor to one event or effect in the given time. */
   void limitProcessor(long micros) {
     eventMicros = micros;
   }
 
-  /** Returns how often the dispatcher gave its role up. */
+  /** Returns how many times a dispatcher gave up its role. */
   int roleChanges() {
     return roleChanges;
   }
 
-  /** Returns the number of jobs answered in time. */
+  /** Returns the number of jobs completed in time. */
   int jobsInTime() {
     return statistics.values().stream().mapToInt(each -> each.inTime).sum();
   }
@@ -186,12 +196,12 @@
     return statistics.get(kind);
   }
 
-  /** Makes some upstreams slow from now on, though they announce themselves as before. */
+  /** Slows some upstreams down, which announce themselves as before. */
   void slowDownUpstreams(int count, double factor) {
     upstreams.values().stream().limit(count).forEach(upstream -> upstream.slowFactor = factor);
   }
 
-  /** Returns the share of all jobs, weighted so that each kind counts alike, answered in time. */
+  /** Returns the share of jobs completed in time, as the mean over the kinds of jobs. */
   double inTimeShare() {
     double sum = 0;
     for (JobStatistics each : statistics.values()) {
@@ -200,7 +210,7 @@
     return sum / statistics.size();
   }
 
-  /** Returns the share of all jobs, weighted alike, that were refused after a long wait. */
+  /** Returns the share of jobs refused after a long wait, as the mean over the kinds of jobs. */
   double lateRefusalShare() {
     double sum = 0;
     for (JobStatistics each : statistics.values()) {
@@ -209,7 +219,7 @@
     return sum / statistics.size();
   }
 
-  /** Prints what each kind of job got. */
+  /** Returns a text with the statistics of each kind of job. */
   String report() {
     StringBuilder text = new StringBuilder();
     statistics.forEach((kind, each) -> text.append(kind).append(' ').append(each).append('\n'));
@@ -237,7 +247,7 @@
     queue.add(new ScheduledAction(now + millis, sequence, action));
   }
 
-  /** Hands work to a dispatcher once its processor gets to it. */
+  /** Passes an event to a dispatcher, after all earlier events if its processor is limited. */
   private void enqueue(String host, LeaseEvent event) {
     if (eventMicros == 0) {
       notifyDispatcher(host, event);
@@ -249,7 +259,7 @@
     }
   }
 
-  /** Handles work until the millisecond is used up. */
+  /** Handles events until the processor time of the current millisecond is used up. */
   private void handleInbox() {
     while (!inbox.isEmpty() && busyUntilMicros < (now + 1) * 1_000) {
       QueuedEvent next = inbox.remove();
@@ -283,8 +293,8 @@
     int tasks = Math.clamp(Math.round(kind.tasks * randomFactor(0.4)), 1, kind.tasks * 4);
     TaskSize size =
         new TaskSize((int) Math.min(20_000, Math.round(TASK_CPU * randomFactor(0.2))), 64, 0);
-    double off = 1 + MAX_ESTIMATE_ERROR * (random.nextDouble() * 2 - 1);
-    WorkStep step = WorkStep.of(tasks, size, Math.round(job.runMillis * off));
+    double estimateFactor = 1 + MAX_ESTIMATE_ERROR * (random.nextDouble() * 2 - 1);
+    WorkStep step = WorkStep.of(tasks, size, Math.round(job.runMillis * estimateFactor));
     WorkRequest request =
         new WorkRequest(
             id,
@@ -298,14 +308,14 @@
             TARGET_MILLIS,
             CALLER_TIMEOUT_MILLIS);
     submit(request);
-    double gap =
+    double intervalMillis =
         -Math.log(1 - random.nextDouble())
             * 1_000
             / (kind.perSecond * trafficScale * currentTraffic);
-    schedule(Math.max(1, Math.round(gap)), () -> arrive(kind));
+    schedule(Math.max(1, Math.round(intervalMillis)), () -> arrive(kind));
   }
 
-  /** Submits to the one dispatcher at no cost, or to an entry host. */
+  /** Submits to the only dispatcher directly, or to a random entry host if there are any. */
   private void submit(WorkRequest request) {
     if (intakes.isEmpty()) {
       enqueue(
@@ -317,7 +327,7 @@
     }
   }
 
-  /** Returns a factor around 1 with the given spread. */
+  /** Returns an approximately log-normal random factor with mean 1 and the given spread. */
   private double randomFactor(double spread) {
     double normal = 0;
     for (int i = 0; i < 12; i++) {
@@ -343,10 +353,10 @@
           schedule(1, () -> upstream.stop(host, stop));
         }
         case LeaseEffect.Report report -> forwardReport(host, report);
-        case LeaseEffect.RoleReleased stalled -> roleChanges++;
-        case LeaseEffect.Superseded outranked -> roleChanges++;
-        case LeaseEffect.LogEvent note -> {
-          // Decisions are of no interest here.
+        case LeaseEffect.RoleReleased released -> roleChanges++;
+        case LeaseEffect.Superseded superseded -> roleChanges++;
+        case LeaseEffect.LogEvent logged -> {
+          // The log isn't evaluated.
         }
       }
     }
@@ -356,8 +366,8 @@
     if (intakes.isEmpty()) {
       recordAnswer(report.workId(), report.outcome());
     } else {
-      IntakeEvent told = new IntakeEvent.OutcomeReported(host, report.workId(), report.outcome());
-      schedule(1, () -> notifyIntake(report.entryHost(), told));
+      IntakeEvent event = new IntakeEvent.OutcomeReported(host, report.workId(), report.outcome());
+      schedule(1, () -> notifyIntake(report.entryHost(), event));
     }
   }
 
@@ -368,9 +378,9 @@
     }
     JobStatistics each = statistics.get(job.kind);
     long age = now - job.arrivedAt;
-    double aim = TARGET_MILLIS + STRETCH * job.runMillis;
+    double targetMillis = TARGET_MILLIS + STRETCH * job.runMillis;
     if (outcome instanceof WorkOutcome.Completed) {
-      if (age <= aim) {
+      if (age <= targetMillis) {
         each.inTime++;
       } else {
         each.late++;
@@ -378,11 +388,11 @@
     } else {
       each.refused++;
       each.longestRefusalMillis = Math.max(each.longestRefusalMillis, age);
-      each.lateRefusals += age > aim / 4 ? 1 : 0;
+      each.lateRefusals += age > targetMillis / 4 ? 1 : 0;
     }
   }
 
-  /** The kinds of jobs, with what a second brings of each. */
+  /** The kinds of jobs, with the number that arrives per second. */
   enum Kind {
     CHECK(24.1, 8, 60, 0),
     CONFIRMATION(4.37, 4, 900, 2),
@@ -401,7 +411,7 @@
     }
   }
 
-  /** What the callers of one kind got. */
+  /** The answers to the callers of one kind of job. */
   static final class JobStatistics {
 
     int jobs;
@@ -409,10 +419,10 @@
     int late;
     int refused;
 
-    /** Refusals that came later than a quarter of the time that a prompt answer may take. */
+    /** The number of refusals after more than a quarter of the job's target time. */
     int lateRefusals;
 
-    /** The longest time after which a caller heard that it isn't served, in milliseconds. */
+    /** The longest time from a job's arrival to its refusal, in milliseconds. */
     long longestRefusalMillis;
 
     @Override
@@ -441,7 +451,7 @@
     }
   }
 
-  /** A sound upstream. */
+  /** A healthy upstream. */
   private final class Upstream {
 
     private final UpstreamAnnouncement announcement;
@@ -504,7 +514,7 @@
     private void answer(LeaseEffect.Renew renew) {
       if (renew.equals(openRenewal)) {
         openRenewal = null;
-        List<RunId> list = List.copyOf(running);
+        List<RunId> runningNow = List.copyOf(running);
         List<RunEnd> ends = List.copyOf(ended);
         long clock = now;
         schedule(
@@ -517,7 +527,7 @@
                         renew.renewalNumber(),
                         OrderResult.DONE,
                         OptionalLong.of(clock),
-                        list,
+                        runningNow,
                         ends)));
       }
     }
--- a/burdockbay-core/src/test/java/org/burdockbay/core/lease/ModelEntryHost.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/lease/ModelEntryHost.java
@@ -19,7 +19,9 @@
 import org.burdockbay.core.shard.ShardId;
 import org.burdockbay.core.work.WorkRequest;
 
-/** One host of a {@link LeaseModel}: membership, intake and dispatch, wired as a process does. */
+/**
+ * One host of a {@link LeaseModel}, with membership, intake and dispatcher wired as in a process.
+ */
 final class ModelEntryHost {
 
   private static final String GROUP = "entry";
@@ -40,10 +42,10 @@
   boolean up;
   boolean paused;
 
-  /** By how much its time of day is ahead when its process starts, in milliseconds. */
+  /** How far the host's clock is ahead of the model's at the start of its process. */
   long clockAheadAtStartMillis;
 
-  /** Whether it has a disk, from which the process recalls the highest epoch. */
+  /** Whether the host has a disk, from which a restarted process restores the highest epoch. */
   boolean persistsEpoch;
 
   long savedEpoch;
@@ -56,7 +58,7 @@
   private boolean pausesClock;
   private boolean handlingBatch;
 
-  /** Until when the processor is busy with what has arrived, in microseconds. */
+  /** The time until which the processor is busy with events that have arrived, in microseconds. */
   private long busyUntilMicros;
 
   private long workBusyUntil;
@@ -97,7 +99,7 @@
         model.random().nextLong(HEARTBEAT_INTERVAL_MILLIS), () -> heartbeatPeriodically(started));
   }
 
-  /** Ends the process; its callers see their connections break. */
+  /** Ends the process, which breaks the connections of its callers. */
   void kill() {
     up = false;
     generation++;
@@ -107,9 +109,9 @@
   }
 
   /**
-   * Stops the process.
+   * Pauses the process.
    *
-   * @param clockToo whether its clock doesn't count that time either, as in a suspended machine
+   * @param clockToo whether the host's clock stops as well, as on a suspended machine
    */
   void pause(boolean clockToo) {
     if (up && !paused) {
@@ -127,9 +129,9 @@
     if (pausesClock) {
       clockPausedMillis += model.now() - pausedAt;
     }
-    List<Runnable> waiting = List.copyOf(heldActions);
+    List<Runnable> actions = List.copyOf(heldActions);
     heldActions.clear();
-    waiting.forEach(Runnable::run);
+    actions.forEach(Runnable::run);
   }
 
   void recover() {
@@ -147,7 +149,7 @@
     return up && dispatcher.isDispatching();
   }
 
-  /** A planned stop: the role is handed over, and what waits here is answered first. */
+  /** Begins a planned stop: hands the role over, while waiting callers still get their answers. */
   void drain() {
     applyMembershipEffects(membership.drain(clock()));
   }
@@ -167,23 +169,27 @@
         });
   }
 
-  void receiveAnnouncement(UpstreamAnnouncement notice) {
-    dispatch(new LeaseEvent.Announced(notice));
+  void receiveAnnouncement(UpstreamAnnouncement announcement) {
+    dispatch(new LeaseEvent.Announced(announcement));
     applyMembershipEffects(membership.growLayout(model.layout(), clock()));
   }
 
-  /** Runs an action in this life of the process, once it isn't frozen. */
+  /** Runs an action in the current process, once it isn't paused; drops it if the process ends. */
   void deliver(long delay, Runnable action) {
-    long meant = generation;
-    model.schedule(delay, () -> receive(meant, action));
+    long expectedGeneration = generation;
+    model.schedule(delay, () -> receive(expectedGeneration, action));
   }
 
-  /** Runs a task of the work, which waits while the host is behind; it gets the arrival time. */
+  /**
+   * Delivers an event that concerns work, which waits while the host lags behind.
+   *
+   * @param action receives the time of arrival
+   */
   private void deliverWork(long delay, LongConsumer action) {
     deliver(delay, () -> queueWork(action));
   }
 
-  /** Runs a task of the work that has arrived behind the work that waits. */
+  /** Runs an action that concerns work after those that arrived before it. */
   private void queueWork(LongConsumer action) {
     long arrivedAt = clock();
     if (!model.delaysWork()) {
@@ -195,12 +201,12 @@
     deliver(workBusyUntil - model.now(), () -> action.accept(arrivedAt));
   }
 
-  private void receive(long meant, Runnable action) {
-    if (!up || meant != generation) {
+  private void receive(long expectedGeneration, Runnable action) {
+    if (!up || expectedGeneration != generation) {
       return;
     }
     if (paused) {
-      heldActions.add(() -> receive(meant, action));
+      heldActions.add(() -> receive(expectedGeneration, action));
     } else if (model.eventMicros > 0) {
       runOnProcessor(model.eventMicros, action);
     } else if (model.batchesEvents()) {
@@ -210,7 +216,7 @@
     }
   }
 
-  /** Does what is due, behind what has arrived before if the processor is limited. */
+  /** Runs a periodic action, after all earlier events if the processor is limited. */
   private void runInOrder(Runnable action) {
     if (model.eventMicros > 0) {
       runOnProcessor(0, action);
@@ -219,35 +225,35 @@
     }
   }
 
-  /** Handles an event once the processor is done with all that arrived before. */
+  /** Runs an action once the processor has handled all earlier events. */
   private void runOnProcessor(long micros, Runnable action) {
-    long meant = generation;
+    long expectedGeneration = generation;
     long nowMicros = model.now() * MICROS_PER_MILLI;
     busyUntilMicros = Math.max(busyUntilMicros, nowMicros) + micros;
     model.schedule(
         (busyUntilMicros - nowMicros) / MICROS_PER_MILLI,
         () -> {
-          if (up && meant == generation) {
+          if (up && expectedGeneration == generation) {
             action.run();
           }
         });
   }
 
-  /** Handles what arrives while the control thread is busy as one batch. */
+  /** Adds an event to the batch that is handled once the control thread is free. */
   private void addToBatch(Runnable action) {
     inbox.add(action);
     if (inbox.size() == 1) {
-      long meant = generation;
-      model.schedule(model.randomBusyMillis(), () -> handleBatch(meant));
+      long expectedGeneration = generation;
+      model.schedule(model.randomBusyMillis(), () -> handleBatch(expectedGeneration));
     }
   }
 
-  private void handleBatch(long meant) {
-    if (!up || meant != generation) {
+  private void handleBatch(long expectedGeneration) {
+    if (!up || expectedGeneration != generation) {
       return;
     }
     if (paused) {
-      heldActions.add(() -> handleBatch(meant));
+      heldActions.add(() -> handleBatch(expectedGeneration));
       return;
     }
     List<Runnable> batch = List.copyOf(inbox);
@@ -262,14 +268,14 @@
     return model.now() + clockAheadMillis - clockPausedMillis;
   }
 
-  private void tickPeriodically(long meant) {
-    if (!up || meant != generation) {
+  private void tickPeriodically(long expectedGeneration) {
+    if (!up || expectedGeneration != generation) {
       return;
     }
     if (!paused) {
       runInOrder(this::handleTick);
     }
-    model.schedule(TICK_INTERVAL_MILLIS, () -> tickPeriodically(meant));
+    model.schedule(TICK_INTERVAL_MILLIS, () -> tickPeriodically(expectedGeneration));
   }
 
   private void handleTick() {
@@ -279,14 +285,14 @@
     handleIntake(new IntakeEvent.Tick());
   }
 
-  private void heartbeatPeriodically(long meant) {
-    if (!up || meant != generation) {
+  private void heartbeatPeriodically(long expectedGeneration) {
+    if (!up || expectedGeneration != generation) {
       return;
     }
     if (!paused) {
       runInOrder(this::sendHeartbeats);
     }
-    model.schedule(HEARTBEAT_INTERVAL_MILLIS, () -> heartbeatPeriodically(meant));
+    model.schedule(HEARTBEAT_INTERVAL_MILLIS, () -> heartbeatPeriodically(expectedGeneration));
   }
 
   private void sendHeartbeats() {
@@ -313,7 +319,7 @@
     }
   }
 
-  /** The connection to another host is new. */
+  /** Handles a new connection to another host. */
   void handleReconnect(ModelEntryHost other) {
     deliver(
         0,
@@ -323,7 +329,7 @@
         });
   }
 
-  /** The connection of a caller that waits here breaks; it asks again elsewhere. */
+  /** Breaks the connection of a random waiting caller, which retries at any host. */
   void breakCallerConnection() {
     if (!up || paused || callers.isEmpty()) {
       return;
@@ -337,8 +343,8 @@
   }
 
   private void receiveStatus(HostStatus status) {
-    Long before = incarnations.put(status.host(), status.incarnation());
-    if (before != null && before < status.incarnation()) {
+    Long previous = incarnations.put(status.host(), status.incarnation());
+    if (previous != null && previous < status.incarnation()) {
       restartSeenAt.put(status.host(), clock());
       dispatch(new LeaseEvent.EntryHostLost(status.host()));
     }
@@ -364,19 +370,19 @@
     }
   }
 
-  /** Runs an action unless the connection that brings it is reset meanwhile. */
+  /** Runs an action on arrival, unless the connection that carries it was reset meanwhile. */
   private void deliverOver(LeaseModel.Link link, long delay, Runnable action) {
-    long meant = generation;
-    long sentOver = link.generation;
-    LeaseModel.MessageChannel stream = link.channelTo(this);
+    long expectedGeneration = generation;
+    long sentInGeneration = link.generation;
+    LeaseModel.MessageChannel channel = link.channelTo(this);
     boolean inOrder = model.orderedDelivery;
     long earliestAt = model.now() + delay;
-    long arrivesAt = inOrder ? stream.send(action, earliestAt) : earliestAt;
+    long arrivesAt = inOrder ? channel.send(action, earliestAt) : earliestAt;
     model.schedule(
         arrivesAt - model.now(),
         () -> {
-          if (link.generation == sentOver) {
-            receive(meant, inOrder ? stream.receive() : action);
+          if (link.generation == sentInGeneration) {
+            receive(expectedGeneration, inOrder ? channel.receive() : action);
           }
         });
   }
@@ -406,10 +412,10 @@
         case MembershipEffect.RoutesChanged routes -> applyRoutes(routes.view());
         case MembershipEffect.LayoutChanged changed -> sendHeartbeats();
         case MembershipEffect.HostLost lost -> {
-          // The dispatcher finds out by itself.
+          // The dispatcher detects silent hosts by itself.
         }
         case MembershipEffect.HostFound found -> {
-          // Nothing depends on it here.
+          // The model takes no action on it.
         }
       }
     }
@@ -417,12 +423,13 @@
 
   private void applyRoutes(RouteView view) {
     membership.claimedShard().ifPresent(own -> notifyShardsChanged(own, view));
-    Map<ShardId, IntakeEvent.Dispatcher> known = new HashMap<>();
+    Map<ShardId, IntakeEvent.Dispatcher> dispatchers = new HashMap<>();
     view.shards()
         .forEach(
-            (shard, found) ->
-                known.put(shard, new IntakeEvent.Dispatcher(found.host(), found.epoch())));
-    handleIntake(new IntakeEvent.DispatchersChanged(known));
+            (shard, dispatching) ->
+                dispatchers.put(
+                    shard, new IntakeEvent.Dispatcher(dispatching.host(), dispatching.epoch())));
+    handleIntake(new IntakeEvent.DispatchersChanged(dispatchers));
   }
 
   private void notifyShardsChanged(ShardId own, RouteView view) {
@@ -465,7 +472,8 @@
             model.recordAnswer(request, answer.outcome());
           }
         }
-        case IntakeEffect.LogEvent note -> model.trace(name, note.event() + " " + note.fields());
+        case IntakeEffect.LogEvent logged ->
+            model.trace(name, logged.event() + " " + logged.fields());
       }
     }
   }
@@ -521,16 +529,17 @@
                   target.handleIntake(
                       new IntakeEvent.OutcomeReported(name, report.workId(), report.outcome())));
         }
-        case LeaseEffect.Superseded outranked ->
+        case LeaseEffect.Superseded superseded ->
             deliver(
                 0,
                 () ->
                     applyMembershipEffects(
                         membership.handleSupersededClaim(
-                            outranked.token(), outranked.acceptedBefore(), clock())));
-        case LeaseEffect.RoleReleased stalled ->
+                            superseded.token(), superseded.acceptedBefore(), clock())));
+        case LeaseEffect.RoleReleased released ->
             deliver(0, () -> applyMembershipEffects(membership.reset(clock())));
-        case LeaseEffect.LogEvent note -> model.trace(name, note.event() + " " + note.fields());
+        case LeaseEffect.LogEvent logged ->
+            model.trace(name, logged.event() + " " + logged.fields());
       }
     }
   }
@@ -542,11 +551,11 @@
   }
 
   private void callUpstream(
-      UpstreamAnnouncement notice,
+      UpstreamAnnouncement announcement,
       long waitMillis,
       java.util.function.Function<ModelUpstream, LeaseEvent> order,
       LeaseEvent unanswered) {
-    ModelUpstream upstream = upstream(notice);
+    ModelUpstream upstream = upstream(announcement);
     Call call = new Call(unanswered, waitMillis + LeaseTiming.DEFAULT.answerTimeoutMillis());
     if (!model.isConnected(domain, upstream.domain)) {
       return;
@@ -556,8 +565,8 @@
           2_000 + model.random().nextLong(10_000),
           () -> {
             if (upstream.up) {
-              LeaseEvent unheard = order.apply(upstream);
-              LeaseModel.check(unheard != null, "an order has an outcome");
+              LeaseEvent unusedAnswer = order.apply(upstream);
+              LeaseModel.check(unusedAnswer != null, "an order has no outcome");
             }
           });
       return;
@@ -596,14 +605,14 @@
     }
   }
 
-  private ModelUpstream upstream(UpstreamAnnouncement notice) {
+  private ModelUpstream upstream(UpstreamAnnouncement announcement) {
     return model.upstreams.stream()
-        .filter(each -> each.id.equals(notice.id()))
+        .filter(each -> each.id.equals(announcement.id()))
         .findFirst()
         .orElseThrow();
   }
 
-  /** A call to an upstream: answered once, by the upstream or by the timeout. */
+  /** A call to an upstream, which ends once: with the upstream's answer or with the timeout. */
   private final class Call {
 
     private boolean finished;
--- a/burdockbay-core/src/test/java/org/burdockbay/core/lease/ModelUpstream.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/lease/ModelUpstream.java
@@ -13,7 +13,7 @@
 import org.burdockbay.core.work.TaskId;
 import org.burdockbay.core.work.TaskSize;
 
-/** An upstream as the dispatcher's contract describes it: leases, fences, runs and their ends. */
+/** An upstream that follows the dispatcher's contract on leases, fencing, runs and their ends. */
 final class ModelUpstream {
 
   static final TaskSize CAPACITY = new TaskSize(32_000, 64_000, 0);
@@ -51,7 +51,7 @@
         id, startedAt, sequence, "desk", id + ":1", domain, leaving, CAPACITY, Set.of("a"));
   }
 
-  /** Ends the life; what runs ends with it. */
+  /** Ends the upstream's instance, together with all its runs. */
   void crash() {
     up = false;
     List.copyOf(running.keySet()).forEach(run -> end(run, null));
@@ -63,9 +63,9 @@
     lastEndNumber = 0;
   }
 
-  /** Meets a token of a dispatcher that is no part of the model. */
-  void observeToken(long strangeToken) {
-    token = Math.max(token, strangeToken);
+  /** Receives the token of a dispatcher outside the model. */
+  void observeToken(long otherToken) {
+    token = Math.max(token, otherToken);
   }
 
   long token() {
@@ -100,10 +100,10 @@
       return OrderResult.LATE;
     }
     extendLease(start.deadlineMillis());
-    boolean older =
+    boolean isOutdated =
         running.keySet().stream()
             .anyMatch(run -> run.task().equals(id.task()) && run.number() >= id.number());
-    if (older || highestEndedRuns.getOrDefault(id.task(), 0L) >= id.number()) {
+    if (isOutdated || highestEndedRuns.getOrDefault(id.task(), 0L) >= id.number()) {
       return OrderResult.OLD;
     }
     int used = running.size() * LeaseModel.TASK_CPU;
@@ -132,7 +132,7 @@
     return OrderResult.DONE;
   }
 
-  /** Answers at once, or when something ends, or when the wait is over. */
+  /** Answers immediately if runs have ended, otherwise at the next end or after the wait. */
   void renew(LeaseEffect.Renew renew, Consumer<LeaseEvent.RenewalAnswered> answer) {
     OrderResult refusal = checkOrder(renew.upstream(), renew.token());
     if (refusal != null) {
@@ -141,12 +141,12 @@
     }
     extendLease(renew.deadlineMillis());
     ended.removeIf(end -> end.number() <= renew.acknowledgedEnd());
-    OpenRenewal poll = new OpenRenewal(renew, answer);
+    OpenRenewal renewal = new OpenRenewal(renew, answer);
     if (!ended.isEmpty() || renew.waitMillis() == 0) {
-      poll.answer();
+      renewal.answer();
     } else {
-      openRenewals.add(poll);
-      model.schedule(renew.waitMillis(), poll::answer);
+      openRenewals.add(renewal);
+      model.schedule(renew.waitMillis(), renewal::answer);
     }
   }
 
@@ -161,29 +161,29 @@
         done ? ended : List.of());
   }
 
-  private OrderResult checkOrder(UpstreamAnnouncement meant, long given) {
-    if (meant.startedAt() != startedAt) {
+  private OrderResult checkOrder(UpstreamAnnouncement announcement, long orderToken) {
+    if (announcement.startedAt() != startedAt) {
       return OrderResult.OTHER_LIFE;
     }
-    if (given < token) {
+    if (orderToken < token) {
       return OrderResult.FENCED;
     }
-    token = given;
+    token = orderToken;
     return null;
   }
 
-  private void extendLease(long until) {
-    long capped = Math.min(until, clock() + MAX_LEASE_MILLIS);
-    if (capped > leaseEndsAt) {
-      leaseEndsAt = capped;
-      long lifeNow = startedAt;
-      long left = (long) Math.ceil((capped - clock()) / clockRate) + 1;
-      model.schedule(left, () -> expireLease(lifeNow));
+  private void extendLease(long deadlineMillis) {
+    long newLeaseEndsAt = Math.min(deadlineMillis, clock() + MAX_LEASE_MILLIS);
+    if (newLeaseEndsAt > leaseEndsAt) {
+      leaseEndsAt = newLeaseEndsAt;
+      long instanceStartedAt = startedAt;
+      long remainingMillis = (long) Math.ceil((newLeaseEndsAt - clock()) / clockRate) + 1;
+      model.schedule(remainingMillis, () -> expireLease(instanceStartedAt));
     }
   }
 
-  private void expireLease(long life) {
-    if (up && life == startedAt && clock() >= leaseEndsAt) {
+  private void expireLease(long instanceStartedAt) {
+    if (up && instanceStartedAt == startedAt && clock() >= leaseEndsAt) {
       List.copyOf(running.keySet()).forEach(run -> end(run, RunEnd.Cause.CUT_SHORT));
     }
   }
@@ -205,9 +205,9 @@
     if (cause != null) {
       lastEndNumber++;
       ended.add(new RunEnd(lastEndNumber, id, cause));
-      List<OpenRenewal> waiting = List.copyOf(openRenewals);
+      List<OpenRenewal> renewals = List.copyOf(openRenewals);
       openRenewals.clear();
-      waiting.forEach(OpenRenewal::answer);
+      renewals.forEach(OpenRenewal::answer);
     }
   }
 
