--- a/burdockbay-core/src/test/java/org/burdockbay/core/fleet/UpstreamRegistryTest.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/fleet/UpstreamRegistryTest.java
@@ -8,12 +8,12 @@
 import org.burdockbay.core.work.TaskSize;
 import org.testng.annotations.Test;
 
-/** Announcements that arrive late, crossed or from an earlier life. */
+/** Tests announcements that arrive late, out of order or from an earlier instance. */
 public class UpstreamRegistryTest {
 
   private final UpstreamRegistry registry = new UpstreamRegistry(6_000);
 
-  /** An announcement that was overtaken must not bring an older state back. */
+  /** Guards against an announcement that arrives out of order and restores an older state. */
   @Test
   public void ignoresOutdatedAnnouncements() {
     assertTrue(registry.recordAnnouncement(announcement(1, 5, true), 0, 0));
@@ -21,7 +21,10 @@
     assertTrue(registry.announcements().iterator().next().leaving());
   }
 
-  /** A restarted upstream begins its counts anew; what its earlier life said is out of date. */
+  /**
+   * Guards against announcements of an earlier instance: a restarted upstream numbers its
+   * announcements anew.
+   */
   @Test
   public void prefersLaterInstance() {
     UpstreamRegistry fresh = new UpstreamRegistry(6_000);
@@ -31,8 +34,8 @@
   }
 
   /**
-   * An upstream leaves, and an announcement that a partition held up arrives after that. Work sent
-   * to it would hang.
+   * Guards against an announcement that was delayed by a partition and arrives after the upstream
+   * has left. Work sent to that upstream would hang.
    */
   @Test
   public void ignoresAnnouncementsAfterDeparture() {
@@ -43,7 +46,10 @@
     assertTrue(fresh.recordAnnouncement(announcement(2, 1, false), 0, 30));
   }
 
-  /** Silence drops an upstream once, counted from when it spoke and not from when it was heard. */
+  /**
+   * Guards against keeping silent upstreams, and against reporting them twice. Silence counts from
+   * the time of the announcement, not of its arrival.
+   */
   @Test
   public void dropsSilentUpstreams() {
     UpstreamRegistry fresh = new UpstreamRegistry(6_000);
--- a/burdockbay-core/src/test/java/org/burdockbay/core/intake/WorkIntakeTest.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/intake/WorkIntakeTest.java
@@ -14,7 +14,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Plays single stories against a {@link WorkIntake}. */
+/** Tests a {@link WorkIntake} with single sequences of events. */
 public class WorkIntakeTest {
 
   private static final long MAX_ORPHANED_RUN_MILLIS = 1_200;
@@ -38,14 +38,14 @@
   private WorkIntake intake;
   private long now;
 
-  /** Creates an intake without a dispatcher. */
+  /** Creates an intake without dispatchers. */
   @BeforeMethod
   public void setUp() {
     intake = new WorkIntake("self", "north", MAX_ORPHANED_RUN_MILLIS);
     now = 1_000;
   }
 
-  /** Work that arrives before the election is over waits for it. */
+  /** Guards against losing work that arrives during an election: it waits for the dispatcher. */
   @Test
   public void submitsOnceDispatcherIsKnown() {
     assertTrue(handle(new IntakeEvent.RequestReceived(1, WORK)).isEmpty());
@@ -56,7 +56,10 @@
     assertEquals(submit.quietPeriodMillis(), 0);
   }
 
-  /** Nobody dispatches for a second: the caller hears at once that nothing has run. */
+  /**
+   * Guards against a caller that waits for its whole timeout without a dispatcher: after one second
+   * it is answered that nothing has run.
+   */
   @Test
   public void refusesWithoutDispatcher() {
     handle(new IntakeEvent.RequestReceived(1, WORK));
@@ -66,8 +69,9 @@
   }
 
   /**
-   * The dispatcher is lost and has runs of this host's work. Its successor is told to start nothing
-   * until they are over, counted from when the lost one was heard last.
+   * Guards against a second run after a dispatcher with runs of this host's work is lost. Its
+   * successor must start nothing until they have ended, counted from the last contact with the lost
+   * dispatcher.
    */
   @Test
   public void passesQuietPeriodToSuccessor() {
@@ -81,8 +85,9 @@
   }
 
   /**
-   * A task ran twice: a host that had stood still submitted new work to the dispatcher that it
-   * knew, and in the same millisecond heard of another one, which started the work at once as well.
+   * Guards against a task that runs twice. After a pause, a host submitted new work to the
+   * dispatcher that it knew, and discovered another one in the same millisecond, which started the
+   * work immediately as well.
    */
   @Test
   public void passesFullQuietPeriodForWorkSubmittedAfterPause() {
@@ -93,7 +98,10 @@
         submits(changeDispatcher(SECOND)).getFirst().quietPeriodMillis(), MAX_ORPHANED_RUN_MILLIS);
   }
 
-  /** A host that dispatched by itself hears itself until the moment at which it gives way. */
+  /**
+   * Guards against a quiet period that is too short after this host was itself the dispatcher: it
+   * was in contact with itself until another host took over.
+   */
   @Test
   public void countsOwnDispatcherAsContacted() {
     changeDispatcher(new IntakeEvent.Dispatcher("self", 1));
@@ -104,7 +112,10 @@
         submits(changeDispatcher(SECOND)).getFirst().quietPeriodMillis(), MAX_ORPHANED_RUN_MILLIS);
   }
 
-  /** A successor's refusal says nothing about what the earlier dispatcher has run. */
+  /**
+   * Guards against reporting work as not run when a successor refuses it: the earlier dispatcher
+   * may have run it.
+   */
   @Test
   public void doesNotReportNotRunAfterDispatchersChanged() {
     changeDispatcher(FIRST);
@@ -116,7 +127,8 @@
   }
 
   /**
-   * Two callers wait for the same work; each is answered once, and later reports change nothing.
+   * Guards against a missing or second answer when two callers wait for the same work, and against
+   * an effect of later reports.
    */
   @Test
   public void answersEveryWaitingCallerOnce() {
@@ -129,7 +141,7 @@
     assertEquals(intake.waitingCallers(), 0);
   }
 
-  /** The dispatcher hears that a caller has left only once nobody waits any more. */
+  /** Guards against cancelling work for which another caller still waits. */
   @Test
   public void cancelsWhenTheLastCallerLeaves() {
     changeDispatcher(FIRST);
@@ -139,7 +151,7 @@
     assertEquals(cancels(handle(new IntakeEvent.CallerDisconnected(2))).size(), 1);
   }
 
-  /** A message or its answer was lost: the work is submitted again, under the same ticket. */
+  /** Guards against a lost submission or report: the work is resubmitted under the same ticket. */
   @Test
   public void resubmitsWorkWithoutOutcome() {
     changeDispatcher(FIRST);
@@ -148,7 +160,10 @@
     assertEquals(submits(handle(new IntakeEvent.Tick())).getFirst().ticket(), 9);
   }
 
-  /** No outcome comes before the caller leaves: it is told, and the dispatcher too. */
+  /**
+   * Guards against a caller without an answer and a run without a caller: once the caller's time
+   * budget is exceeded, the caller is answered and the work is cancelled.
+   */
   @Test
   public void givesUpWhenCallerBudgetIsExceeded() {
     changeDispatcher(FIRST);
@@ -160,8 +175,9 @@
   }
 
   /**
-   * A connection broke just as a caller had left, and its job went on at the first shard while the
-   * caller, back elsewhere, had it run at a second one.
+   * Guards against a job that runs on two shards. A connection broke just after the caller had
+   * left, so the cancellation was lost and the job continued at the first shard, while the caller's
+   * retry at another host had it run at a second one.
    */
   @Test
   public void resendsCancellationsAfterReconnect() {
@@ -175,7 +191,10 @@
     assertTrue(cancels(handle(new IntakeEvent.PeerReconnected("a"))).isEmpty());
   }
 
-  /** A caller was back at once, and a cancellation that was repeated dropped its new submission. */
+  /**
+   * Guards against a resent cancellation that drops the new submission of a caller which retried
+   * immediately.
+   */
   @Test
   public void doesNotCancelResubmittedWork() {
     changeDispatcher(FIRST);
@@ -185,7 +204,7 @@
     assertTrue(cancels(handle(new IntakeEvent.PeerReconnected("a"))).isEmpty());
   }
 
-  /** All entry hosts took the first of the shards, while the others had room. */
+  /** Guards against entry hosts that all select the first shard while others have free capacity. */
   @Test
   public void choosesShardWithMoreFreeCapacity() {
     changeDispatchers(Map.of(NORTH, FIRST, SOUTH, SECOND));
@@ -194,7 +213,7 @@
     assertEquals(submits(handle(new IntakeEvent.RequestReceived(1, WORK))).getFirst().to(), SECOND);
   }
 
-  /** A job crossed the network between domains, though its own domain had room. */
+  /** Guards against sending a job to another failure domain while its own has free capacity. */
   @Test
   public void prefersOwnDomainWhileItHasCapacity() {
     changeDispatchers(Map.of(NORTH, FIRST, SOUTH, SECOND));
@@ -203,7 +222,7 @@
     assertEquals(submits(handle(new IntakeEvent.RequestReceived(1, WORK))).getFirst().to(), FIRST);
   }
 
-  /** A caller was refused by a full shard, while another one had room. */
+  /** Guards against refusing a caller because one shard is full while another has free capacity. */
   @Test
   public void offersRefusedWorkToShardsWithCapacity() {
     changeDispatchers(Map.of(NORTH, FIRST, SOUTH, SECOND));
@@ -214,12 +233,12 @@
     assertEquals(spilled.to(), SECOND);
     assertEquals(spilled.quietPeriodMillis(), 0);
     assertTrue(
-        refuse("a").stream().allMatch(IntakeEffect.LogEvent.class::isInstance), "a late copy");
+        refuse("a").stream().allMatch(IntakeEffect.LogEvent.class::isInstance), "a late duplicate");
     IntakeEffect.Answer answer = answers(refuse("b")).getFirst();
     assertTrue(answer.outcome() instanceof WorkOutcome.NotRun);
   }
 
-  /** A caller heard "not run" of a job that the next shard had just begun. */
+  /** Guards against reporting a job as not run which the next shard has just started. */
   @Test
   public void ignoresLateRefusalOfEarlierShard() {
     changeDispatchers(Map.of(NORTH, FIRST, SOUTH, SECOND));
@@ -229,12 +248,15 @@
     now += 500;
     IntakeEffect.Submit moved = submits(handle(new IntakeEvent.Tick())).getFirst();
     assertEquals(moved.to(), SECOND);
-    assertTrue(moved.quietPeriodMillis() > 0, "the first shard's runs may go on");
+    assertTrue(moved.quietPeriodMillis() > 0, "the first shard's runs may continue");
     assertTrue(answers(refuse("a")).isEmpty());
     assertTrue(answers(refuse("b")).getFirst().outcome() instanceof WorkOutcome.GivenUp);
   }
 
-  /** The first shard has done the job after all: the caller hears so, and the second one stops. */
+  /**
+   * Guards against ignoring the completion of a job by the first shard after the job was moved: the
+   * caller is answered, and the second shard's work is cancelled.
+   */
   @Test
   public void acceptsCompletionFromAnyShardThatHadWork() {
     changeDispatchers(Map.of(NORTH, FIRST, SOUTH, SECOND));
@@ -249,7 +271,10 @@
     assertEquals(cancels(effects).getFirst().to(), SECOND);
   }
 
-  /** A shard lost its dispatcher for a moment, and its jobs went elsewhere and had to wait. */
+  /**
+   * Guards against moving jobs to another shard, where they have to wait for the quiet period, when
+   * their shard is without a dispatcher only briefly.
+   */
   @Test
   public void keepsWorkAtShardUntilSuccessorAppears() {
     changeDispatchers(Map.of(NORTH, FIRST, SOUTH, SECOND));
--- a/burdockbay-core/src/test/java/org/burdockbay/core/lease/HeavyLoadTest.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/lease/HeavyLoadTest.java
@@ -9,10 +9,11 @@
 import org.testng.annotations.Test;
 
 /**
- * What callers get from a {@link LeaseDispatcher} when they bring more than fits.
+ * Tests how a {@link LeaseDispatcher} serves callers whose load exceeds the capacity.
  *
- * <p>The figures are means over three seeds. "Before" is a dispatcher that starts whatever waits by
- * its latest start, and refuses only what can't end before its caller leaves.
+ * <p>Figures in comments are means over three seeds. The baseline is a dispatcher that starts
+ * waiting jobs in the order of their latest start, and refuses only those that can't end before
+ * their callers' timeouts.
  */
 public class HeavyLoadTest {
 
@@ -24,18 +25,18 @@
   private static final double NO_TRAFFIC = 1e-9;
   private static final ShardLayout SHARDS = new ShardLayout(4);
 
-  /** By how much less may be served in time than by one pool. */
+  /** Maximum loss of the in-time share against a single pool. */
   private static final double MAX_IN_TIME_LOSS = 0.05;
 
-  /** What events cost where the processor takes {@link #PROCESSOR_TRAFFIC}, in microseconds. */
+  /** Processor time for one event, at which {@link #PROCESSOR_TRAFFIC} can be handled. */
   private static final long EVENT_MICROS = 950;
 
-  /** The traffic that takes nearly all of such a processor, as a multiple of the usual one. */
+  /** The traffic that nearly saturates such a processor, as a multiple of the usual traffic. */
   private static final double PROCESSOR_TRAFFIC = 0.4;
 
   private static final Map<Double, Outcome> OUTCOMES = new HashMap<>();
 
-  /** Usual traffic takes 0.72 of the room: nearly everybody is served in time. */
+  /** Guards against late jobs under usual traffic, which takes 0.72 of the capacity. */
   @Test
   public void servesUsualTrafficInTime() {
     Outcome outcome = simulate(1);
@@ -43,8 +44,9 @@
   }
 
   /**
-   * Callers bring as much as fits, and queues grow. What can't start in time takes the room of what
-   * could, so that more and more is late. Before: 0.826 in time; with refusals 0.90.
+   * Guards against growing lateness when the load equals the capacity: queues grow, and jobs that
+   * can't start in time take the capacity of those that could. The baseline serves 0.826 in time,
+   * and 0.90 with refusals.
    */
   @Test
   public void servesMostInTimeAtFullCapacity() {
@@ -52,7 +54,10 @@
     assertTrue(outcome.inTime > 0.88, outcome.toString());
   }
 
-  /** Callers bring 1.3 times what fits. Before: 0.490 in time; with refusals and order 0.772. */
+  /**
+   * Guards against a collapse when the load is 1.3 times the capacity. The baseline serves 0.490 in
+   * time, and 0.772 with refusals and ordering.
+   */
   @Test
   public void servesWhatFitsInTimeUnderOverload() {
     Outcome outcome = simulate(1.8);
@@ -60,8 +65,9 @@
   }
 
   /**
-   * A caller whose job can't start in time hears so while it can still go elsewhere. Before: after
-   * 2,499 ms, when it was about to leave; with refusals after less than 120 ms.
+   * Guards against refusals that come too late for the caller to go elsewhere. The baseline refuses
+   * after 2,499 ms, shortly before the caller's timeout; with refusals of jobs that can't start in
+   * time it takes less than 120 ms.
    */
   @Test
   public void refusesEarlyWhatCannotStartInTime() {
@@ -70,9 +76,9 @@
   }
 
   /**
-   * A caller that will be refused hears so within a quarter of the time that a prompt answer may
-   * take. Refused by the predicted wait alone, 0.090 of all jobs under overload heard it later, as
-   * more urgent work kept coming; with a margin for work that has just arrived 0.013.
+   * Guards against refusals after more than a quarter of the target time. Without a margin for new
+   * work, the predicted wait alone refuses 0.090 of all jobs later under overload, as more urgent
+   * work keeps arriving; with the margin it is 0.013.
    */
   @Test
   public void refusesFewAfterLongWaits() {
@@ -81,27 +87,27 @@
   }
 
   /**
-   * Six of 33 upstreams turn slow and take 6.5 times as long; the others have room for the usual
-   * traffic, 0.88 of it taken. Most jobs of eight tasks meet a slow one. Before: 0.786 in time;
-   * with stragglers moved and slow upstreams avoided 0.914.
+   * Guards against late jobs when 6 of 33 upstreams take 6.5 times as long. The usual traffic takes
+   * 0.88 of the capacity of the others, and most jobs of eight tasks have one on a slow upstream.
+   * The baseline serves 0.786 in time; moving stragglers and avoiding slow upstreams yields 0.914.
    */
   @Test
   public void servesAroundSlowUpstreams() {
     double inTime = 0;
     for (long seed = 1; seed <= SEEDS; seed++) {
-      LoadSimulation play = new LoadSimulation(seed);
-      play.slowDownUpstreams(6, 6.5);
-      play.run(1, SIMULATION_MILLIS);
-      inTime += play.inTimeShare() / SEEDS;
-      System.out.println("slow-upstreams seed=" + seed + '\n' + play.report());
+      LoadSimulation simulation = new LoadSimulation(seed);
+      simulation.slowDownUpstreams(6, 6.5);
+      simulation.run(1, SIMULATION_MILLIS);
+      inTime += simulation.inTimeShare() / SEEDS;
+      System.out.println("slow-upstreams seed=" + seed + '\n' + simulation.report());
     }
     assertTrue(inTime > 0.85, "in time " + inTime);
   }
 
   /**
-   * A fleet of 245 upstreams is divided into twelve shards, and usual traffic is served as by one
-   * pool that costs nothing: 0.992 in time against 0.996, and without a second shard for what the
-   * first one refuses 0.982.
+   * Guards against a loss from dividing 245 upstreams into twelve shards, compared with a single
+   * pool that has no costs. The shards serve 0.992 in time against 0.996 of the pool, and 0.982 if
+   * jobs that the first shard refuses aren't offered to a second one.
    */
   @Test
   public void servesUsualTrafficOfDividedFleetInTime() {
@@ -111,38 +117,39 @@
   }
 
   private static double simulateLargeFleet(double traffic, ShardLayout layout) {
-    LoadSimulation play = new LoadSimulation(1, LARGE_FLEET_UPSTREAMS, layout);
-    play.run(traffic, LARGE_SIMULATION_MILLIS);
-    play.run(NO_TRAFFIC, MAX_JOB_MILLIS);
-    System.out.println("traffic=" + traffic + " shards=" + layout + '\n' + play.report());
-    return play.inTimeShare();
+    LoadSimulation simulation = new LoadSimulation(1, LARGE_FLEET_UPSTREAMS, layout);
+    simulation.run(traffic, LARGE_SIMULATION_MILLIS);
+    simulation.run(NO_TRAFFIC, MAX_JOB_MILLIS);
+    System.out.println("traffic=" + traffic + " shards=" + layout + '\n' + simulation.report());
+    return simulation.inTimeShare();
   }
 
   /**
-   * A host that got three times what its processor takes took up everything, so all of it waited,
-   * and next to nobody was served in time.
+   * Guards against a host that accepts all events at three times the load of its processor, so that
+   * all of them wait and hardly any caller is served in time.
    */
   @Test
   public void sustainsThroughputAtThreeTimesProcessorCapacity() {
     for (long seed = 1; seed <= SEEDS; seed++) {
-      LoadSimulation carried = simulateSlowProcessor(seed, PROCESSOR_TRAFFIC);
+      LoadSimulation sustained = simulateSlowProcessor(seed, PROCESSOR_TRAFFIC);
       LoadSimulation overloaded = simulateSlowProcessor(seed, 3 * PROCESSOR_TRAFFIC);
       assertTrue(
-          overloaded.jobsInTime() >= 0.8 * carried.jobsInTime(),
-          overloaded.jobsInTime() + " in time of " + carried.jobsInTime());
+          overloaded.jobsInTime() >= 0.8 * sustained.jobsInTime(),
+          overloaded.jobsInTime() + " in time of " + sustained.jobsInTime());
       assertEquals(overloaded.roleChanges(), 0);
     }
   }
 
   private static LoadSimulation simulateSlowProcessor(long seed, double traffic) {
-    LoadSimulation play = new LoadSimulation(seed);
-    play.limitProcessor(EVENT_MICROS);
-    play.run(traffic, SIMULATION_MILLIS);
-    System.out.println("processor traffic=" + traffic + " seed=" + seed + '\n' + play.report());
-    return play;
+    LoadSimulation simulation = new LoadSimulation(seed);
+    simulation.limitProcessor(EVENT_MICROS);
+    simulation.run(traffic, SIMULATION_MILLIS);
+    System.out.println(
+        "processor traffic=" + traffic + " seed=" + seed + '\n' + simulation.report());
+    return simulation;
   }
 
-  /** Plays one multiple of the usual traffic once, however many tests look at it. */
+  /** Simulates a multiple of the usual traffic, and caches the outcome for other tests. */
   private static Outcome simulate(double traffic) {
     return OUTCOMES.computeIfAbsent(traffic, HeavyLoadTest::simulateSeeds);
   }
@@ -152,12 +159,13 @@
     double lateRefusals = 0;
     long longest = 0;
     for (long seed = 1; seed <= SEEDS; seed++) {
-      LoadSimulation play = new LoadSimulation(seed);
-      play.run(traffic, SIMULATION_MILLIS);
-      inTime += play.inTimeShare() / SEEDS;
-      lateRefusals += play.lateRefusalShare() / SEEDS;
-      longest = Math.max(longest, play.statistics(LoadSimulation.Kind.CHECK).longestRefusalMillis);
-      System.out.println("traffic=" + traffic + " seed=" + seed + '\n' + play.report());
+      LoadSimulation simulation = new LoadSimulation(seed);
+      simulation.run(traffic, SIMULATION_MILLIS);
+      inTime += simulation.inTimeShare() / SEEDS;
+      lateRefusals += simulation.lateRefusalShare() / SEEDS;
+      longest =
+          Math.max(longest, simulation.statistics(LoadSimulation.Kind.CHECK).longestRefusalMillis);
+      System.out.println("traffic=" + traffic + " seed=" + seed + '\n' + simulation.report());
     }
     return new Outcome(inTime, lateRefusals, longest);
   }
--- a/burdockbay-core/src/test/java/org/burdockbay/core/lease/LargeFleetTest.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/lease/LargeFleetTest.java
@@ -6,14 +6,14 @@
 import org.burdockbay.core.shard.ShardLayout;
 import org.testng.annotations.Test;
 
-/** What callers get from a fleet whose events take more than one host's processor. */
+/** Tests a fleet whose events need more than the processor of one host. */
 public class LargeFleetTest {
 
   private static final int DOMAINS = 3;
   private static final int HOSTS_PER_DOMAIN = 4;
   private static final int UPSTREAMS_PER_DOMAIN = 30;
 
-  /** What an event takes of a small host, in microseconds. */
+  /** Processor time of a small host for one event. */
   private static final long EVENT_MICROS = 1_100;
 
   private static final int JOBS_PER_SECOND = 90;
@@ -21,7 +21,10 @@
   private static final long SUBMISSION_INTERVAL_MILLIS = 1_000 / JOBS_PER_SECOND;
   private static final long SECOND_MILLIS = 1_000;
 
-  /** Guards against one dispatcher for all, whose processor is full while the other hosts idle. */
+  /**
+   * Guards against a single dispatcher for the whole fleet, whose processor is saturated while
+   * those of the other hosts idle.
+   */
   @Test
   public void servesFleetTooLargeForOneHostsProcessor() {
     LeaseModel model =
@@ -34,15 +37,15 @@
     model.eventMicros = EVENT_MICROS;
     SplittableRandom random = new SplittableRandom(1);
     submitFor(model, random, SECOND_MILLIS);
-    int answers = model.answers;
-    int completed = model.completed;
+    int answersBefore = model.answers;
+    int completedBefore = model.completed;
     submitFor(model, random, 4 * SECOND_MILLIS);
-    double share = (double) (model.completed - completed) / (model.answers - answers);
+    double share = (double) (model.completed - completedBefore) / (model.answers - answersBefore);
     assertTrue(share > 0.95, "only %.3f of the jobs are completed".formatted(share));
   }
 
   private static void submitFor(LeaseModel model, SplittableRandom random, long millis) {
-    for (long played = 0; played < millis; played += SUBMISSION_INTERVAL_MILLIS) {
+    for (long elapsed = 0; elapsed < millis; elapsed += SUBMISSION_INTERVAL_MILLIS) {
       model.submit(1 + random.nextInt(MAX_TASKS));
       model.advance(SUBMISSION_INTERVAL_MILLIS);
     }
--- a/burdockbay-core/src/test/java/org/burdockbay/core/lease/LeaseDispatcherTest.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/lease/LeaseDispatcherTest.java
@@ -22,7 +22,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Plays single stories against a {@link LeaseDispatcher}. */
+/** Tests a {@link LeaseDispatcher} with single sequences of events. */
 public class LeaseDispatcherTest {
 
   private static final TaskSize HALF_CAPACITY = new TaskSize(16_000, 64, 0);
@@ -36,7 +36,7 @@
   private long now;
   private long clockAheadMillis;
 
-  /** Creates a dispatcher with the role and no upstream. */
+  /** Creates a dispatcher that holds the role and has no upstreams. */
   @BeforeMethod
   public void setUp() {
     dispatcher = new LeaseDispatcher("self", LeaseTiming.DEFAULT);
@@ -46,7 +46,9 @@
     handle(new LeaseEvent.RoleGained(TOKEN));
   }
 
-  /** A caller's two tasks run on the one upstream with room, and the caller hears it once. */
+  /**
+   * Guards against a report before all tasks of a job are done, and against more than one report.
+   */
   @Test
   public void answersOnceEveryTaskIsDone() {
     UpstreamAnnouncement upstream = addUpstream("u1");
@@ -59,7 +61,10 @@
     assertEquals(reports.getFirst().outcome(), new WorkOutcome.Completed());
   }
 
-  /** Three halves don't fit into one upstream: the third waits for the first to end. */
+  /**
+   * Guards against overloading an upstream: of three tasks that take half its capacity each, the
+   * third waits until the first one ends.
+   */
   @Test
   public void startsNoMoreThanFits() {
     UpstreamAnnouncement upstream = addUpstream("u1");
@@ -69,8 +74,8 @@
   }
 
   /**
-   * A start is never answered. The list that the upstream gives next has the run, so it isn't
-   * started a second time and its end counts.
+   * Guards against a second run of a task whose start was never answered. The upstream's next run
+   * list contains the run, so it isn't started again and its end counts.
    */
   @Test
   public void discoversUnansweredStartInRunList() {
@@ -85,8 +90,9 @@
   }
 
   /**
-   * A start is never answered and the list doesn't have the run. It may still be carried out
-   * seconds later, so it is stopped, and starts elsewhere only once the stop is confirmed.
+   * Guards against two runs of a task whose start was never answered and whose run isn't in the
+   * list. The start may still be carried out seconds later, so the run is stopped, and the task
+   * starts elsewhere only after the stop was confirmed.
    */
   @Test
   public void stopsAnUnansweredStartBeforeItStartsElsewhere() {
@@ -105,7 +111,7 @@
             first, run, OrderResult.DONE, OptionalLong.of(upstreamClock())));
     assertTrue(
         starts(answerOpenRenewal(first, List.of(), List.of())).isEmpty(),
-        "asked for before the confirmation");
+        "requested before the confirmation");
     now += 5;
     List<LeaseEffect.Start> again = starts(answerOpenRenewal(first, List.of(), List.of()));
     assertEquals(again.size(), 1);
@@ -114,10 +120,11 @@
   }
 
   /**
-   * A contract was confirmed twice within milliseconds. A renewal is sent; within the same
-   * millisecond the upstream confirms a start that it took after it had made its list. The list,
-   * which can't have the run, comes last over another connection. Read by the clock, the renewal
-   * and the confirmation are simultaneous, and the run would count as over.
+   * Guards against a task that runs twice, such as a contract that was confirmed twice within
+   * milliseconds. An upstream makes its run list for a renewal, then accepts a start and confirms
+   * it in the millisecond in which the renewal was sent. The list, which lacks the run, arrives
+   * last over another connection. If their order were derived from the clock, renewal and
+   * confirmation would be simultaneous, and the run would count as ended.
    */
   @Test
   public void keepsRunMissingFromListRequestedInMillisecondOfItsConfirmation() {
@@ -129,13 +136,14 @@
         new LeaseEvent.StartAnswered(
             upstream, run, OrderResult.DONE, OptionalLong.of(upstreamClock())));
     List<LeaseEffect> effects = answerOpenRenewal(upstream, List.of(), List.of());
-    assertTrue(starts(effects).isEmpty(), "the run goes on");
+    assertTrue(starts(effects).isEmpty(), "the run continues");
     assertEquals(reports(endRun(upstream, run, 2, RunEnd.Cause.DONE)).size(), 1);
   }
 
   /**
-   * An upstream lost a run without a word. A list that was asked for after the start was confirmed
-   * doesn't have it, so the task starts again, and the log says why.
+   * Guards against waiting for a run that an upstream lost without reporting its end. The run isn't
+   * in a list that was requested after its start was confirmed, so the task starts again and the
+   * event is logged.
    */
   @Test
   public void restartsRunMissingFromListRequestedAfterConfirmation() {
@@ -151,9 +159,8 @@
   }
 
   /**
-   * A start is held up on the network, and the next call works. The start is sent again under the
-   * same run number long before it counts as unanswered, and the caller's short task is still in
-   * time.
+   * Guards against a late result of a short task whose start is delayed on the network while the
+   * next call succeeds. The start is resent under the same run number long before its timeout.
    */
   @Test
   public void resendsUnansweredStartsUnderSameRunNumber() {
@@ -169,8 +176,8 @@
   }
 
   /**
-   * A start is sent again while another job's run is being stopped there. A copy with a later lease
-   * would keep alive what has to end before its caller comes again elsewhere.
+   * Guards against a resent start with a later lease while another job's run is being stopped at
+   * the upstream. It would keep a run alive that must end before its caller retries elsewhere.
    */
   @Test
   public void resentStartsDoNotExtendLease() {
@@ -182,9 +189,9 @@
   }
 
   /**
-   * A dispatcher takes over on a process that has just started, and every answer comes late. Sent
-   * again after a fixed time, each of its first starts went out four times, and the answers came
-   * later still.
+   * Guards against overload by resent starts when a dispatcher takes over in a process that has
+   * just started and all answers are delayed. Resent after a fixed time, each of its first starts
+   * was sent four times, which delayed the answers further.
    */
   @Test
   public void doesNotResendWhileAllAnswersAreDelayed() {
@@ -195,9 +202,9 @@
   }
 
   /**
-   * The first copy of a start was carried out and its answer lost; the task has ended when the
-   * second copy comes, which is refused as old. The end, which a list brings later, counts, and
-   * nothing starts meanwhile.
+   * Guards against a second run after the first copy of a start was carried out and its answer was
+   * lost. The task has ended when the second copy arrives, which is refused as old. The end in a
+   * later list counts, and nothing starts meanwhile.
    */
   @Test
   public void doesNotTreatRefusedResendAsNotRun() {
@@ -216,8 +223,9 @@
   }
 
   /**
-   * The first copy of a start is held up, and the second finds no room. The first may be carried
-   * out seconds later, so the task starts elsewhere only once a stop was confirmed.
+   * Guards against two runs when the first copy of a start is delayed and the second one is refused
+   * for lack of capacity. The first may be carried out seconds later, so the task starts elsewhere
+   * only after a stop was confirmed.
    */
   @Test
   public void stopsDelayedStartBeforeTaskStartsElsewhere() {
@@ -240,8 +248,8 @@
   }
 
   /**
-   * An upstream falls silent while it runs a task. The task starts elsewhere only once the lease is
-   * over on the slowest clock that an upstream may have.
+   * Guards against two runs when an upstream becomes silent while it runs a task. The task starts
+   * elsewhere only after the lease has expired by the slowest clock that an upstream may have.
    */
   @Test
   public void waitsForLeaseExpiryOfSilentUpstream() {
@@ -265,9 +273,9 @@
   }
 
   /**
-   * An upstream announces itself and answers calls, and its task hangs. The job's other tasks ended
-   * long ago on other upstreams; the last one is stopped there and starts elsewhere, once the
-   * upstream has shown that it is gone.
+   * Guards against a job that never ends because one task hangs on an upstream that announces
+   * itself and answers calls. The other tasks ended long ago on other upstreams. The last one is
+   * stopped, and starts elsewhere once the upstream has reported its end.
    */
   @Test
   public void movesHangingTaskOnceSiblingTasksAreDone() {
@@ -283,14 +291,16 @@
                     OrderResult.DONE,
                     OptionalLong.of(upstreamClock()))));
     now += 100;
-    Map<String, List<LeaseEffect.Start>> byUpstream = new HashMap<>();
+    Map<String, List<LeaseEffect.Start>> startsByUpstream = new HashMap<>();
     starts.forEach(
         start ->
-            byUpstream.computeIfAbsent(start.upstream().id(), id -> new ArrayList<>()).add(start));
-    RunId hanging = byUpstream.get("u1").getFirst().run();
+            startsByUpstream
+                .computeIfAbsent(start.upstream().id(), id -> new ArrayList<>())
+                .add(start));
+    RunId hanging = startsByUpstream.get("u1").getFirst().run();
     for (UpstreamAnnouncement upstream : upstreams) {
       long number = 0;
-      for (LeaseEffect.Start start : byUpstream.get(upstream.id())) {
+      for (LeaseEffect.Start start : startsByUpstream.get(upstream.id())) {
         if (!start.run().equals(hanging)) {
           number++;
           endRun(upstream, start.run(), number, RunEnd.Cause.DONE);
@@ -309,7 +319,7 @@
     assertFalse(starts(effects).getFirst().upstream().id().equals("u1"));
   }
 
-  /** A task that fails starts on another upstream, and the job fails after its last attempt. */
+  /** Guards against a retry on the same upstream, and against more attempts than the job allows. */
   @Test
   public void failsWorkAfterItsLastAttempt() {
     addUpstream("u1");
@@ -323,7 +333,7 @@
     assertTrue(reports.getFirst().outcome() instanceof WorkOutcome.Failed);
   }
 
-  /** A leaving upstream gets nothing new, and what it runs is finished. */
+  /** Guards against new runs on a leaving upstream, and against ending the runs that it has. */
   @Test
   public void startsNothingOnLeavingUpstreams() {
     UpstreamAnnouncement upstream = addUpstream("u1");
@@ -334,25 +344,26 @@
   }
 
   /**
-   * A dispatcher takes over while an upstream runs a task of a job whose entry host submits it
-   * again. The run goes on and isn't started a second time.
+   * Guards against a second run after a takeover. An upstream runs a task of a job that its entry
+   * host resubmits; the run continues and isn't started again.
    */
   @Test
   public void adoptsRunsThatAnEarlierDispatcherStarted() {
-    UpstreamAnnouncement notice = announcement("u1", 1, false);
-    handle(new LeaseEvent.Announced(notice));
+    UpstreamAnnouncement announcement = announcement("u1", 1, false);
+    handle(new LeaseEvent.Announced(announcement));
     WorkRequest request = request("w", 1, HALF_CAPACITY);
     handle(new LeaseEvent.Submitted("entry", TOKEN, 1, request, 300, 1_000));
     RunId run = new RunId(new TaskId("w", 0, 0), 3);
-    assertTrue(starts(answerOpenRenewal(notice, List.of(run), List.of())).isEmpty());
-    assertEquals(reports(endRun(notice, run, 1, RunEnd.Cause.DONE)).size(), 1);
+    assertTrue(starts(answerOpenRenewal(announcement, List.of(run), List.of())).isEmpty());
+    assertEquals(reports(endRun(announcement, run, 1, RunEnd.Cause.DONE)).size(), 1);
   }
 
   /**
-   * A dispatcher is outranked and claims the role again at once. An entry host repeats its work
-   * before it hears of the new token; it doesn't know yet that the earlier role may still run it.
-   * Nothing starts until the entry host says for how long, and its late cancellation of the earlier
-   * submission doesn't touch the new one.
+   * Guards against a second run when a dispatcher's token is superseded and it claims the role
+   * again immediately. An entry host resubmits its work before it has discovered the new token, so
+   * its submission has no quiet period although the earlier role may still run the work. Nothing
+   * starts until the entry host submits with a quiet period, and its late cancellation of the
+   * earlier submission doesn't affect the new one.
    */
   @Test
   public void ignoresMessagesForEarlierRole() {
@@ -368,8 +379,8 @@
   }
 
   /**
-   * A task would run twice: a dispatcher claims its role again and takes its own run over, and then
-   * an answer to its earlier role comes, late, that a copy of the start was refused.
+   * Guards against a task that runs twice. A dispatcher claims its role again and adopts its own
+   * run; then a late answer to its earlier role reports that a copy of the start was refused.
    */
   @Test
   public void keepsRunsRefusedInAnswersToEarlierRole() {
@@ -393,26 +404,26 @@
         handle(
             new LeaseEvent.StopAnswered(
                 first, run, OrderResult.FENCED, OptionalLong.of(upstreamClock()))));
-    assertTrue(starts(effects).isEmpty(), "the run goes on at " + first.id());
-    assertTrue(logEvents(effects, "outranked").isEmpty(), first.id() + " obeys the new token");
+    assertTrue(starts(effects).isEmpty(), "the run continues on " + first.id());
+    assertTrue(logEvents(effects, "outranked").isEmpty(), first.id() + " accepts the new token");
   }
 
   /**
-   * A caller would wait in vain: an upstream leaves before anybody has claimed what runs there, and
-   * nothing tells when a run on a forgotten upstream is over.
+   * Guards against a caller that is never answered. An upstream leaves before the work of its run
+   * was submitted, and nothing reports the end of a run on a removed upstream.
    */
   @Test
   public void restartsUnclaimedRunOfDepartedUpstream() {
-    UpstreamAnnouncement notice = announcement("u1", 1, false);
-    handle(new LeaseEvent.Announced(notice));
+    UpstreamAnnouncement announcement = announcement("u1", 1, false);
+    handle(new LeaseEvent.Announced(announcement));
     RunId run = new RunId(new TaskId("w", 0, 0), 3);
-    answerOpenRenewal(notice, List.of(run), List.of());
+    answerOpenRenewal(announcement, List.of(run), List.of());
     final long leaseEnd = now + LeaseTiming.DEFAULT.maxLeaseMillis();
-    handle(new LeaseEvent.Departed(notice));
+    handle(new LeaseEvent.Departed(announcement));
     final List<LeaseEffect> effects = new ArrayList<>(submit("w", 1, HALF_CAPACITY));
     addUpstream("u2");
     while (now <= leaseEnd) {
-      assertTrue(starts(effects).isEmpty(), "the lease of u1 may last");
+      assertTrue(starts(effects).isEmpty(), "the lease of u1 may not have expired");
       now += 100;
       effects.addAll(handle(new LeaseEvent.EntryHostMessageReceived("entry")));
       effects.addAll(handle(new LeaseEvent.Tick()));
@@ -421,8 +432,8 @@
   }
 
   /**
-   * A task would run twice: a second entry host submits work that is known, and says that another
-   * dispatcher may go on with it for a while.
+   * Guards against a task that runs twice. A second entry host submits known work, with a quiet
+   * period because another dispatcher may continue it.
    */
   @Test
   public void waitsForLongestQuietPeriodOfAllSubmitters() {
@@ -436,21 +447,24 @@
     assertEquals(starts(handle(new LeaseEvent.Tick())).size(), 1);
   }
 
-  /** A run that no entry host claims is stopped, and the lease isn't renewed until it is. */
+  /**
+   * Guards against a run without an entry host that is kept alive: it is stopped, and its lease
+   * isn't extended until it has ended.
+   */
   @Test
   public void stopsUnclaimedRuns() {
-    UpstreamAnnouncement notice = announcement("u1", 1, false);
-    handle(new LeaseEvent.Announced(notice));
+    UpstreamAnnouncement announcement = announcement("u1", 1, false);
+    handle(new LeaseEvent.Announced(announcement));
     RunId run = new RunId(new TaskId("gone", 0, 0), 1);
-    List<LeaseEffect> effects = answerOpenRenewal(notice, List.of(run), List.of());
+    List<LeaseEffect> effects = answerOpenRenewal(announcement, List.of(run), List.of());
     assertEquals(renewals(effects).getFirst().deadlineMillis(), 0);
     now += TakenOverRuns.CLAIM_TIMEOUT_MILLIS + 1;
     assertEquals(stops(handle(new LeaseEvent.Tick())).getFirst().run(), run);
   }
 
   /**
-   * An entry host's repetition of its work crosses the refusal on the way. Starting the work then
-   * would make the refusal, which promised that nothing runs, untrue.
+   * Guards against a run of work that was reported as not run. The entry host's resubmission
+   * crosses the refusal in transit.
    */
   @Test
   public void doesNotStartResubmittedRefusedWork() {
@@ -472,7 +486,7 @@
     assertEquals(reports(effects).size(), 1);
   }
 
-  /** The caller leaves: what runs for it is stopped at once. */
+  /** Guards against runs that continue after their caller has left. */
   @Test
   public void stopsTheWorkOfCallersThatLeave() {
     addUpstream("u1");
@@ -482,9 +496,9 @@
   }
 
   /**
-   * A caller leaves while its start is on the way. The stop is lost, and the start's confirmation
-   * comes after it. It confirms no stop, so the stop is sent again, and the lease isn't extended
-   * for a run that nobody wants.
+   * Guards against a lost stop. A caller leaves while a start is in transit, the stop is lost, and
+   * the confirmation of the start arrives after it. That doesn't confirm the stop, so the stop is
+   * resent, and the lease isn't extended for the unwanted run.
    */
   @Test
   public void doesNotTreatStartConfirmationAsStopConfirmation() {
@@ -501,7 +515,8 @@
   }
 
   /**
-   * An entry host falls silent: its work is dropped after 450 ms, as its callers come elsewhere.
+   * Guards against runs that continue while their callers retry elsewhere: the work of a silent
+   * entry host is dropped after 450 ms.
    */
   @Test
   public void dropsTheWorkOfSilentEntryHosts() {
@@ -515,7 +530,10 @@
     assertEquals(stops(handle(new LeaseEvent.Tick())).size(), 1);
   }
 
-  /** A process that stood still has lost the role, whatever it believes. */
+  /**
+   * Guards against a dispatcher that continues after a process pause, in which another host may
+   * have claimed its role.
+   */
   @Test
   public void givesUpRoleAfterProcessPause() {
     addUpstream("u1");
@@ -527,9 +545,9 @@
   }
 
   /**
-   * A machine is suspended together with its clock, and its callers come again elsewhere. When it
-   * goes on, no event is late by its clock; the first answer of an upstream tells that time has
-   * passed there, before any start can get a lease that holds.
+   * Guards against a dispatcher that continues after its machine was suspended together with the
+   * clock, while its callers retried elsewhere. No event is late by its own clock. The first answer
+   * of an upstream shows that time has passed there, before any start can get a valid lease.
    */
   @Test
   public void givesUpRoleAfterPauseNotShownByOwnClock() {
@@ -541,7 +559,10 @@
     assertFalse(dispatcher.isDispatching());
   }
 
-  /** After a suspension, the clock in a start's answer must not give later starts a valid lease. */
+  /**
+   * Guards against valid leases for later starts that are based on the clock in the answer to a
+   * start after a suspension.
+   */
   @Test
   public void givesUpRoleAfterPauseShownByStartAnswer() {
     UpstreamAnnouncement upstream = addUpstream("u1");
@@ -556,7 +577,10 @@
     assertFalse(dispatcher.isDispatching());
   }
 
-  /** After a suspension, the clock in a start's answer must not give later starts a valid lease. */
+  /**
+   * Guards against valid leases for later starts that are based on the clock in the answer to a
+   * stop after a suspension.
+   */
   @Test
   public void givesUpRoleAfterPauseShownByStopAnswer() {
     UpstreamAnnouncement upstream = addUpstream("u1");
@@ -571,24 +595,30 @@
     assertFalse(dispatcher.isDispatching());
   }
 
-  /** An answer that was held up on the network shows no standstill, nor does the next one. */
+  /**
+   * Guards against giving up the role because of an answer that was delayed on the network, or
+   * because of the answer after it.
+   */
   @Test
   public void doesNotTreatDelayedAnswerAsPause() {
     final UpstreamAnnouncement upstream = addUpstream("u1");
-    final long clockThen = upstreamClock();
+    final long clockAtSending = upstreamClock();
     now += 240;
     handle(new LeaseEvent.EntryHostMessageReceived("entry"));
     now += 240;
-    answerWithClock(openRenewals.get("u1"), clockThen);
+    answerWithClock(openRenewals.get("u1"), clockAtSending);
     answerOpenRenewal(upstream, List.of(), List.of());
     assertTrue(dispatcher.isDispatching());
   }
 
-  /** An upstream that has seen a higher token is left alone for a while, then outbid. */
+  /**
+   * Guards against superseding a higher token immediately: an upstream that has accepted one is
+   * retried several times first.
+   */
   @Test
   public void supersedesHigherTokenOnlyAfterSeveralRefusals() {
-    UpstreamAnnouncement notice = announcement("u1", 1, false);
-    List<LeaseEffect> effects = handle(new LeaseEvent.Announced(notice));
+    UpstreamAnnouncement announcement = announcement("u1", 1, false);
+    List<LeaseEffect> effects = handle(new LeaseEvent.Announced(announcement));
     int refusals = 0;
     while (effects.stream().noneMatch(LeaseEffect.Superseded.class::isInstance)) {
       List<LeaseEffect.Renew> renewals = renewals(effects);
@@ -599,16 +629,16 @@
       }
       now += 100;
       effects.addAll(handle(new LeaseEvent.Tick()));
-      assertTrue(refusals < 10, "never outbid");
+      assertTrue(refusals < 10, "never superseded");
     }
     assertEquals(refusals, 3);
   }
 
   /**
-   * A partition heals, and an upstream that the other side's dispatcher had taken refuses the
-   * orders that were on their way. They are one refusal: counted each for itself, both dispatchers
-   * outbid each other several times before they heard of each other, and their tokens ran so far
-   * ahead that a restarted host was refused for as long as it lived.
+   * Guards against tokens that rise too fast after a partition. An upstream that the other side's
+   * dispatcher has taken over refuses all orders in transit. Counted individually, they made both
+   * dispatchers supersede each other several times before they discovered each other, and their
+   * tokens ran so far ahead that a restarted host was refused for its whole lifetime.
    */
   @Test
   public void countsConcurrentRefusalsAsOne() {
@@ -631,7 +661,7 @@
     assertEquals(logEvents(effects, "outranked").size(), 1);
   }
 
-  /** Lets a later call to the upstream be answered before the one that waits. */
+  /** Answers later calls to the upstream while the start remains unanswered. */
   private void answerLaterCallsFirst(UpstreamAnnouncement upstream) {
     now += 15;
     answerOpenRenewal(upstream, List.of(), List.of());
@@ -639,7 +669,10 @@
     answerOpenRenewal(upstream, List.of(), List.of());
   }
 
-  /** Work of a dead entry host that had waited here would run on until its caller came again. */
+  /**
+   * Guards against work of a dead entry host that keeps running until its caller retries, because
+   * the work had waited at this host.
+   */
   @Test
   public void measuresEntryHostSilenceFromArrivalOfWork() {
     addUpstream("u1");
@@ -662,7 +695,10 @@
     return effects;
   }
 
-  /** A host that owns one shard renewed leases on all upstreams, and had no time left for it. */
+  /**
+   * Guards against a host that owns one shard but renews the leases of all upstreams, which leaves
+   * no time for its own.
+   */
   @Test
   public void renewsLeasesInOwnShardOnly() {
     changeShards(OTHER_SHARD, OWN_SHARD);
@@ -670,7 +706,9 @@
     assertEquals(renewals(changeShards(OWN_SHARD, OTHER_SHARD)).size(), 1, "taken over at once");
   }
 
-  /** A job was given up as impossible, though an upstream of another shard could run it. */
+  /**
+   * Guards against giving up a job as impossible although an upstream of another shard can run it.
+   */
   @Test
   public void refusesWorkThatOnlyOtherShardsCanRun() {
     changeShards(OTHER_SHARD, OWN_SHARD);
@@ -680,8 +718,8 @@
   }
 
   /**
-   * An upstream goes to another shard while a run is there. The run ends in peace and is answered;
-   * nothing more starts there, and its lease is made no longer.
+   * Guards against ending a run when its upstream moves to another shard. The run ends normally and
+   * its outcome is reported; nothing more starts there, and the lease isn't extended.
    */
   @Test
   public void finishesRunsOnUpstreamsThatLeaveShard() {
@@ -689,17 +727,17 @@
     RunId run = starts(submit("w", 1, HALF_CAPACITY)).getFirst().run();
     changeShards(OTHER_SHARD, OWN_SHARD);
     assertTrue(starts(submit("v", 1, HALF_CAPACITY)).isEmpty());
-    LeaseEffect.Renew reading =
+    LeaseEffect.Renew renewal =
         renewals(answerOpenRenewal(upstream, List.of(run), List.of())).getFirst();
-    assertEquals(reading.deadlineMillis(), 0);
+    assertEquals(renewal.deadlineMillis(), 0);
     List<LeaseEffect> effects = endRun(upstream, run, 1, RunEnd.Cause.DONE);
     assertEquals(reports(effects).getFirst().outcome(), new WorkOutcome.Completed());
-    assertTrue(renewals(effects).isEmpty(), "nothing is left to read");
+    assertTrue(renewals(effects).isEmpty(), "no end is left to read");
   }
 
   /**
-   * The other shard's dispatcher has taken the upstream over, and refuses are as they should be.
-   * Counted, they made this host give its whole shard up for a higher token.
+   * Guards against giving up the whole shard for a higher token: after the other shard's dispatcher
+   * has taken over an upstream, its refusals are expected and must not be counted.
    */
   @Test
   public void ignoresRefusalsOfUpstreamsThatLeftShard() {
@@ -715,7 +753,7 @@
     }
     assertTrue(renewals(effects).isEmpty());
     assertTrue(effectsOfType(effects, LeaseEffect.Superseded.class).isEmpty());
-    assertEquals(logEvents(effects, "lease-over").size(), 1, "the run is over with its lease");
+    assertEquals(logEvents(effects, "lease-over").size(), 1, "the run has ended with its lease");
   }
 
   private List<LeaseEffect> changeShards(ShardId own, ShardId other) {
@@ -739,23 +777,24 @@
         Set.of());
   }
 
-  /** Announces an upstream and answers its first renewal. */
+  /** Announces an upstream, and answers its first renewal. */
   private UpstreamAnnouncement addUpstream(String id) {
-    UpstreamAnnouncement notice = announcement(id, 1, false);
-    List<LeaseEffect> effects = handle(new LeaseEvent.Announced(notice));
-    recordRenewals(effects, notice);
-    answerOpenRenewal(notice, List.of(), List.of());
-    return notice;
+    UpstreamAnnouncement announcement = announcement(id, 1, false);
+    List<LeaseEffect> effects = handle(new LeaseEvent.Announced(announcement));
+    recordRenewals(effects, announcement);
+    answerOpenRenewal(announcement, List.of(), List.of());
+    return announcement;
   }
 
-  private void recordRenewals(List<LeaseEffect> effects, UpstreamAnnouncement notice) {
+  private void recordRenewals(List<LeaseEffect> effects, UpstreamAnnouncement announcement) {
     for (LeaseEffect.Renew renew : renewals(effects)) {
       openRenewals.put(renew.upstream().id(), renew);
     }
-    assertTrue(openRenewals.containsKey(notice.id()), "no renewal is open at " + notice.id());
+    assertTrue(
+        openRenewals.containsKey(announcement.id()), "no renewal is open at " + announcement.id());
   }
 
-  /** Answers the open renewal of an upstream with lists. */
+  /** Answers the open renewal of an upstream with the given runs and ends. */
   private List<LeaseEffect> answerOpenRenewal(
       UpstreamAnnouncement upstream, List<RunId> running, List<RunEnd> ended) {
     LeaseEffect.Renew open =
@@ -766,7 +805,7 @@
     return effects;
   }
 
-  /** Returns the renewal that followed the announcement, which is the first one of all. */
+  /** Returns the first renewal after the announcement of an upstream. */
   private LeaseEffect.Renew firstRenewal(UpstreamAnnouncement upstream) {
     return new LeaseEffect.Renew(upstream, 1, TOKEN, 0, 0, 0, 40);
   }
@@ -777,7 +816,7 @@
   }
 
   private void loseRenewalAnswers(UpstreamAnnouncement upstream) {
-    for (int times = 0; times < 3; times++) {
+    for (int i = 0; i < 3; i++) {
       LeaseEffect.Renew open = openRenewals.get(upstream.id());
       List<LeaseEffect> effects =
           new ArrayList<>(answer(open, OrderResult.NO_ANSWER, List.of(), List.of()));
@@ -842,7 +881,7 @@
 
   private static List<LeaseEffect.LogEvent> logEvents(List<LeaseEffect> effects, String event) {
     return effectsOfType(effects, LeaseEffect.LogEvent.class).stream()
-        .filter(note -> note.event().equals(event))
+        .filter(logged -> logged.event().equals(event))
         .toList();
   }
 
--- a/burdockbay-core/src/test/java/org/burdockbay/core/lease/LeaseFuzzTest.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/lease/LeaseFuzzTest.java
@@ -8,7 +8,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Drives hosts, upstreams and callers through faults against {@link LeaseModel}. */
+/** Injects random faults into a {@link LeaseModel}, which checks its guarantees. */
 public class LeaseFuzzTest {
 
   private static final int STEPS = 120;
@@ -16,10 +16,12 @@
   private static final int RUNS = 40;
 
   /**
-   * A trader would see a lot sold twice, or hear "not run" of a contract that was confirmed. Hosts
-   * die, freeze with or without their clock, and stop as planned; failure domains are cut off;
-   * upstreams crash, come back under their old id, stand still, or carry orders out seconds later.
-   * The cause would be a gap between lease, fencing token and the time that a successor waits.
+   * Guards against two simultaneous runs of a task, which would sell a lot twice, and against
+   * reporting a task as not run which has run, such as the confirmation of a contract. Hosts are
+   * killed, paused with or without their clocks, and stopped as planned; failure domains are
+   * partitioned; upstreams crash, restart under the same id, hang, or carry out orders seconds
+   * later. Such a fault comes from a gap between the lease, the fencing token and the time for
+   * which a successor waits.
    */
   @Test
   public void neverOverlapsRunsOfTaskDuringFaults() {
@@ -27,9 +29,9 @@
   }
 
   /**
-   * The same where a start, its confirmation, a renewal and its list fall into one millisecond, and
-   * a host handles several of them as one batch. The cause would be an order of events that is read
-   * from a clock.
+   * Guards against overlapping runs when a start, its confirmation, a renewal and its run list fall
+   * into one millisecond, and a host handles several of them as one batch. Such a fault comes from
+   * an order of events that is derived from a clock.
    */
   @Test
   public void neverOverlapsRunsOfTaskWithSimultaneousEvents() {
@@ -37,8 +39,9 @@
   }
 
   /**
-   * The same where work waits at hosts that are behind, and heartbeats and changes of the role go
-   * before it. The cause would be old work or an old answer that is taken for fresh.
+   * Guards against overlapping runs when events that concern work wait at lagging hosts, and are
+   * overtaken by heartbeats and role changes. Such a fault comes from outdated work or an outdated
+   * answer that is treated as current.
    */
   @Test
   public void neverOverlapsRunsOfTaskWhenControlOvertakesWork() {
@@ -46,29 +49,32 @@
   }
 
   /**
-   * The same in a fleet that is divided among several dispatchers. Besides, work that comes again
-   * may reach another shard than the one that had it, dispatchers take upstreams over from each
-   * other, and hosts disagree for a while on whose an upstream is. Some fleets are divided while
-   * they serve.
+   * Guards against overlapping runs in a fleet that is divided among several dispatchers. In
+   * addition to other faults, resubmitted work may reach another shard than the one that had it,
+   * dispatchers take upstreams over from each other, and hosts temporarily disagree on the owner of
+   * an upstream. Some fleets are divided while they serve.
    */
   @Test
   public void neverOverlapsRunsOfTaskInDividedFleet() {
     simulateAll(LeaseModel.Network.DISTINCT_TIMES, true);
   }
 
-  /** The same in a divided fleet, where events fall together. */
+  /** Guards against overlapping runs in a divided fleet with several events in one millisecond. */
   @Test
   public void neverOverlapsRunsOfTaskInDividedFleetWithSimultaneousEvents() {
     simulateAll(LeaseModel.Network.SIMULTANEOUS, true);
   }
 
-  /** A task ran twice after a connection broke with a submission or cancellation under way. */
+  /**
+   * Guards against a task that runs twice after a connection broke with a submission or
+   * cancellation in transit.
+   */
   @Test(dataProvider = "networks")
   public void neverOverlapsRunsOfTaskOverOrderedConnections(LeaseModel.Network network) {
     simulateAll(network, true, true);
   }
 
-  /** Returns all kinds of network. */
+  /** Returns all kinds of networks. */
   @DataProvider
   public Object[] networks() {
     return LeaseModel.Network.values();
@@ -78,13 +84,18 @@
     simulateAll(network, divided, false);
   }
 
-  private static void simulateAll(LeaseModel.Network network, boolean divided, boolean ordered) {
+  private static void simulateAll(
+      LeaseModel.Network network, boolean divided, boolean orderedDelivery) {
     int runs = FuzzOptions.exampleCount(RUNS);
     for (int run = 0; run < runs; run++) {
       long seed = FuzzOptions.seed() + run;
       try {
         simulate(
-            seed, network, divided ? dividedLayout(seed) : ShardLayout.UNDIVIDED, true, ordered);
+            seed,
+            network,
+            divided ? dividedLayout(seed) : ShardLayout.UNDIVIDED,
+            true,
+            orderedDelivery);
       } catch (AssertionError e) {
         throw new AssertionError("seed " + seed + ": " + e.getMessage(), e);
       }
@@ -92,17 +103,24 @@
   }
 
   /**
-   * Seeds that once showed a fault, each with its cause.
+   * Replays the seeds that once revealed a fault. The causes were:
    *
-   * <p>20261204: a host that dispatched itself never counted as heard, so its work moved to a
-   * successor that started at once. 20261206: each refused token was outbid at once, without end.
-   * 20261210: work dropped with its lost entry host was refused as "not run" once the host was
-   * back. 20261221: a frozen dispatcher took old messages for fresh. 255: runs that nobody had
-   * claimed were kept alive, and work of a host that was never heard was never dropped. 20261278,
-   * with events that fall together: a run counted as over by a list from before its start. 20261340
-   * and 20261504: a dispatcher that was suspended together with its clock started work that its
-   * entry host had lost meanwhile. 20261417: a submission that was meant for the dispatcher's
-   * earlier role, and so told of no time to wait, was taken up under a new token.
+   * <ul>
+   *   <li>20261204: a host that was itself the dispatcher never counted as contacted, so its work
+   *       moved to a successor that started it immediately.
+   *   <li>20261206: each refused token was superseded immediately, in an endless loop.
+   *   <li>20261210: work that was dropped with its lost entry host was refused as "not run" once
+   *       the host was back.
+   *   <li>20261221: a paused dispatcher treated old messages as current.
+   *   <li>255: unclaimed runs were kept alive, and the work of a host without any contact was never
+   *       dropped.
+   *   <li>20261278, with simultaneous events: a run counted as ended because of a run list from
+   *       before its start.
+   *   <li>20261340 and 20261504: a dispatcher that was paused together with its clock started work
+   *       that its entry host had lost meanwhile.
+   *   <li>20261417: a submission for the dispatcher's earlier role, which therefore had no quiet
+   *       period, was accepted under a new token.
+   * </ul>
    */
   @Test
   public void neverOverlapsRunsOfTaskForSeedsThatOnceFailed() {
@@ -113,13 +131,13 @@
     simulateOriginalFaults(20261504, LeaseModel.Network.SIMULTANEOUS);
   }
 
-  /** Prints the figures of the run. */
+  /** Prints the summary of the run. */
   @AfterClass
   public void printFigures() {
     System.out.println(FuzzOptions.summary("lease"));
   }
 
-  /** Plays a seed with the faults that there were when it showed one. */
+  /** Replays a seed without broken connections, which the model didn't have when it failed. */
   private static void simulateOriginalFaults(long seed, LeaseModel.Network network) {
     simulate(seed, network, ShardLayout.UNDIVIDED, false, false);
   }
@@ -133,11 +151,11 @@
       long seed,
       LeaseModel.Network network,
       ShardLayout layout,
-      boolean connectionsBreak,
-      boolean ordered) {
+      boolean breaksConnections,
+      boolean orderedDelivery) {
     LeaseModel model = new LeaseModel(seed, network, layout, 2 + layout.shardsPerDomain() / 2, 3);
-    model.breaksConnections = connectionsBreak;
-    model.orderedDelivery = ordered;
+    model.breaksConnections = breaksConnections;
+    model.orderedDelivery = orderedDelivery;
     SplittableRandom random = new SplittableRandom(~seed);
     for (int step = 0; step < STEPS; step++) {
       if (step == GROWTH_STEP) {
@@ -150,7 +168,7 @@
       if (random.nextInt(4) == 0) {
         injectFault(model, random);
       }
-      if (connectionsBreak) {
+      if (breaksConnections) {
         breakConnections(model);
       }
       model.advance(20 + random.nextLong(300));
@@ -159,7 +177,7 @@
     FuzzOptions.recordExample("lease", model.starts, model.answers);
   }
 
-  /** Resets the connections between two hosts, and those of callers, some of them meanwhile. */
+  /** Breaks connections between hosts and those of callers, sometimes at the same time. */
   private static void breakConnections(LeaseModel model) {
     SplittableRandom random = model.faultRandom();
     if (random.nextInt(6) == 0) {
--- a/burdockbay-core/src/test/java/org/burdockbay/core/lease/TotalRestartTest.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/lease/TotalRestartTest.java
@@ -7,7 +7,9 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** What callers get after all hosts were killed at once, while the upstreams went on. */
+/**
+ * Tests that callers are served again after all hosts were killed while the upstreams kept running.
+ */
 public class TotalRestartTest {
 
   private static final long DOWNTIME_MILLIS = 1_200;
@@ -18,15 +20,15 @@
   private static final long SUBMISSION_INTERVAL_MILLIS = 300;
   private static final int CHECKED_CALLERS = 6;
 
-  /** Returns by how many rounds the upstreams' token is ahead of all that the hosts know. */
+  /** Returns the number of rounds by which the upstreams' token exceeds all that hosts know. */
   @DataProvider
   public Object[][] roundsAhead() {
     return new Object[][] {{0}, {5}, {60}, {600}};
   }
 
   /**
-   * Every caller would be refused for as long as the upstreams refuse the restarted dispatcher's
-   * token: no disk tells the highest one, and the time of day is behind it.
+   * Guards against refusing every caller for as long as the upstreams refuse the restarted
+   * dispatcher's token: no disk holds the highest token, and the time of day is behind it.
    */
   @Test(dataProvider = "roundsAhead")
   public void recoversInTimeWithUnknownHighestToken(int rounds) {
@@ -35,14 +37,17 @@
       restartAllHosts(
           model,
           () -> {
-            long strange = highestToken(model) + ((long) rounds << TOKEN_BITS);
-            model.upstreams.forEach(upstream -> upstream.observeToken(strange));
+            long unknownToken = highestToken(model) + ((long) rounds << TOKEN_BITS);
+            model.upstreams.forEach(upstream -> upstream.observeToken(unknownToken));
           });
       checkServed(model, "seed " + seed + ", " + rounds + " rounds ahead");
     }
   }
 
-  /** The same with a disk on one host, and clocks that were stepped back before the restart. */
+  /**
+   * Guards against refused tokens when one host has a disk and all clocks were set back before the
+   * restart.
+   */
   @Test
   public void recoversInTimeAfterClocksWereSetBack() {
     for (long seed = 1; seed <= SEEDS; seed++) {
@@ -63,7 +68,10 @@
     }
   }
 
-  /** The host whose disk tells the highest token comes back when the others have claimed. */
+  /**
+   * Guards against refused tokens when the host whose disk holds the highest token restarts after
+   * the other hosts have claimed the role.
+   */
   @Test
   public void recoversInTimeWhenHostWithHighestTokenRestartsLast() {
     for (long seed = 1; seed <= SEEDS; seed++) {
@@ -82,7 +90,10 @@
     }
   }
 
-  /** Hosts that have just started stand still now and then, and the role goes round. */
+  /**
+   * Guards against unserved callers when restarted hosts pause repeatedly, so that the role moves
+   * from host to host.
+   */
   @Test
   public void recoversInTimeWhenRestartedHostsPause() {
     for (long seed = 1; seed <= SEEDS; seed++) {
@@ -119,7 +130,11 @@
     return model.upstreams.stream().mapToLong(ModelUpstream::token).max().orElseThrow();
   }
 
-  /** Kills all hosts and starts them again. */
+  /**
+   * Kills all hosts and restarts them.
+   *
+   * @param meanwhile runs while all hosts are down
+   */
   private static void restartAllHosts(LeaseModel model, Runnable meanwhile) {
     model.hosts.values().forEach(model::kill);
     meanwhile.run();
@@ -127,14 +142,14 @@
     model.hosts.values().forEach(ModelEntryHost::recover);
   }
 
-  /** Checks that callers who come later than the stated aim after the restart are all served. */
-  private static void checkServed(LeaseModel model, String play) {
+  /** Checks that all callers that arrive after the stated recovery time are served. */
+  private static void checkServed(LeaseModel model, String description) {
     submitFor(model, LeaseModel.MAX_RECOVERY_MILLIS - LeaseModel.CALLER_TIMEOUT_MILLIS);
     model.advance(LeaseModel.CALLER_TIMEOUT_MILLIS);
     int before = model.completed;
     submitFor(model, CHECKED_CALLERS * SUBMISSION_INTERVAL_MILLIS);
     model.advance(LeaseModel.CALLER_TIMEOUT_MILLIS);
-    assertEquals(model.completed - before, CHECKED_CALLERS, play + ": served");
+    assertEquals(model.completed - before, CHECKED_CALLERS, description + ": served");
   }
 
   private static void submitFor(LeaseModel model, long millis) {
--- a/burdockbay-core/src/test/java/org/burdockbay/core/shard/ShardMapTest.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/shard/ShardMapTest.java
@@ -10,12 +10,13 @@
 import java.util.Optional;
 import org.testng.annotations.Test;
 
-/** How upstreams are divided among shards. */
+/** Tests the division of upstreams among shards. */
 public class ShardMapTest {
 
   private static final List<String> DOMAINS = List.of("north", "south", "east");
   private static final int UPSTREAMS = 245;
 
+  /** Guards against dividing a fleet that one dispatcher can handle. */
   @Test
   public void leavesSmallFleetsWithOneDispatcher() {
     assertEquals(ShardLayout.of(48, 3), ShardLayout.UNDIVIDED);
@@ -25,6 +26,7 @@
         Optional.of(ShardId.WHOLE_FLEET));
   }
 
+  /** Guards against shards that outgrow their dispatchers as the fleet grows. */
   @Test
   public void growsTheNumberOfShardsWithTheFleet() {
     assertEquals(ShardLayout.of(117, 3).shardsPerDomain(), 2);
@@ -33,6 +35,7 @@
     assertEquals(ShardLayout.of(1_300, 8).shardsPerDomain(), 7);
   }
 
+  /** Guards against upstreams owned from another failure domain, and against uneven shards. */
   @Test
   public void keepsUpstreamsInTheirDomainAndBalancesShards() {
     ShardMap map = ShardMap.of(shards(ShardLayout.of(UPSTREAMS, 3)));
@@ -47,19 +50,21 @@
     owned.values().forEach(count -> assertTrue(count >= 8 && count <= 36, owned.toString()));
   }
 
+  /** Guards against moving upstreams of other shards when one shard is lost. */
   @Test
   public void movesOnlyTheUpstreamsOfLostShards() {
     List<ShardId> all = shards(ShardLayout.of(UPSTREAMS, 3));
     ShardId lost = new ShardId("north", 1);
-    List<ShardId> left = new ArrayList<>(all);
-    left.remove(lost);
+    List<ShardId> remaining = new ArrayList<>(all);
+    remaining.remove(lost);
     for (int i = 0; i < UPSTREAMS; i++) {
       ShardId before = ShardMap.of(all).owner("i-" + i, "north").orElseThrow();
-      ShardId after = ShardMap.of(left).owner("i-" + i, "north").orElseThrow();
+      ShardId after = ShardMap.of(remaining).owner("i-" + i, "north").orElseThrow();
       assertTrue(before.equals(lost) ? !after.equals(lost) : after.equals(before));
     }
   }
 
+  /** Guards against upstreams without an owner because their domain has no shards. */
   @Test
   public void givesUpstreamsOfDomainsWithoutShardsToOthers() {
     ShardMap map = ShardMap.of(new ShardLayout(2).shards("north"));
