--- a/burdockbay-core/src/main/java/org/burdockbay/core/agreement/Bytes.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/agreement/Bytes.java
@@ -2,10 +2,10 @@
 
 import java.util.Arrays;
 
-/** An immutable sequence of bytes. */
+/** Immutable sequence of bytes. */
 public final class Bytes {
 
-  /** No bytes. */
+  /** The empty sequence. */
   public static final Bytes EMPTY = new Bytes(new byte[0]);
 
   private final byte[] content;
@@ -14,7 +14,7 @@
     this.content = content;
   }
 
-  /** Returns a copy of the array as bytes. */
+  /** Returns a sequence with a copy of the array. */
   public static Bytes copyOf(byte[] content) {
     return new Bytes(content.clone());
   }
@@ -24,15 +24,15 @@
     return content.clone();
   }
 
-  /** Returns a part of the bytes. */
+  /** Returns the subsequence from {@code from}, inclusive, to {@code to}, exclusive. */
   public Bytes slice(int from, int to) {
     return new Bytes(Arrays.copyOfRange(content, from, to));
   }
 
-  /** Returns these bytes followed by others. */
-  public Bytes concat(Bytes more) {
-    byte[] joined = Arrays.copyOf(content, content.length + more.content.length);
-    System.arraycopy(more.content, 0, joined, content.length, more.content.length);
+  /** Returns the concatenation of this sequence and another one. */
+  public Bytes concat(Bytes other) {
+    byte[] joined = Arrays.copyOf(content, content.length + other.content.length);
+    System.arraycopy(other.content, 0, joined, content.length, other.content.length);
     return new Bytes(joined);
   }
 
--- a/burdockbay-core/src/main/java/org/burdockbay/core/agreement/EntryContent.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/agreement/EntryContent.java
@@ -1,14 +1,14 @@
 package org.burdockbay.core.agreement;
 
-/** What a log entry carries. */
+/** Content of a log entry. */
 public sealed interface EntryContent {
 
-  /** Nothing; a new leader appends it to commit what earlier terms left. */
+  /** No operation. A new leader appends it to commit entries of earlier terms. */
   record Noop() implements EntryContent {}
 
-  /** A command to the state machine. */
+  /** Command to the state machine. */
   record Command(Bytes data) implements EntryContent {}
 
-  /** The members of the group from this entry on. */
+  /** Change of the group's members, effective from this entry on. */
   record Members(VoterSet voters) implements EntryContent {}
 }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/agreement/GroupId.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/agreement/GroupId.java
@@ -1,11 +1,11 @@
 package org.burdockbay.core.agreement;
 
 /**
- * Identity of an agreement group; every message and file name carries it, so that one process can
- * take part in several groups.
+ * Identity of an agreement group. Messages and file names contain it, so that one process can be a
+ * member of several groups.
  */
 public record GroupId(int number) {
 
-  /** The group that agrees on configuration and ledger. */
+  /** Group that replicates the configuration and the ledger. */
   public static final GroupId CONTROL = new GroupId(0);
 }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/agreement/LeaderReplication.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/agreement/LeaderReplication.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** What a leader sends to the other members, and what it learns from their answers. */
+/** Replicates a leader's log to the other members and tracks their progress. */
 final class LeaderReplication {
 
   private static final int MAX_ENTRIES_PER_MESSAGE = 512;
@@ -34,7 +34,7 @@
     }
   }
 
-  /** Returns whether a quorum, this leader included, was heard of within the election timeout. */
+  /** Returns whether a quorum, including this leader, has replied within the election timeout. */
   boolean hasQuorumContact(VoterId self, long now) {
     return log.voters()
         .hasQuorum(
@@ -45,7 +45,7 @@
             });
   }
 
-  /** Sends heartbeats, and again what was sent without an answer. */
+  /** Sends heartbeats, and resends entries and snapshot chunks without a reply. */
   void tick(long now) {
     for (Map.Entry<VoterId, PeerProgress> entry : peers.entrySet()) {
       PeerProgress peer = entry.getValue();
@@ -65,7 +65,7 @@
     }
   }
 
-  /** Sends new entries to every member whose window has room. */
+  /** Sends new entries to all members that have capacity in their replication window. */
   void replicate(long now) {
     for (VoterId member : log.voters().members()) {
       if (!member.equals(node.self())) {
@@ -114,7 +114,7 @@
     return peer == null ? 0 : peer.matchIndex;
   }
 
-  /** Returns the highest entry that a quorum of the voters has synced. */
+  /** Returns the highest index that a quorum of the voters has synced. */
   long quorumIndex(VoterId self, long ownSyncedIndex) {
     List<Long> synced =
         log.voters().voters().stream()
@@ -158,12 +158,12 @@
     }
   }
 
-  /** Sends a heartbeat at the point up to which the member is known to agree. */
+  /** Sends a heartbeat for the prefix of the log that is known to match. */
   private void sendHeartbeat(VoterId member, PeerProgress peer, long now) {
     peer.lastSentAt = now;
-    boolean known = peer.matchIndex >= log.baseIndex();
-    long agreed = known ? peer.matchIndex : 0;
-    sendAppend(member, agreed, List.of(), Math.min(node.commitIndex(), agreed));
+    boolean isMatchAvailable = peer.matchIndex >= log.baseIndex();
+    long matched = isMatchAvailable ? peer.matchIndex : 0;
+    sendAppend(member, matched, List.of(), Math.min(node.commitIndex(), matched));
   }
 
   private void sendAppend(VoterId member, long prevIndex, List<LogEntry> entries, long commit) {
--- a/burdockbay-core/src/main/java/org/burdockbay/core/agreement/PeerProgress.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/agreement/PeerProgress.java
@@ -2,25 +2,28 @@
 
 import org.jspecify.annotations.Nullable;
 
-/** What the leader knows of another member. */
+/** Replication progress of another member, as tracked by the leader. */
 final class PeerProgress {
 
-  /** The last entry that the member has synced and that equals the leader's. */
+  /** Index of the last entry that the member has synced and that matches the leader's log. */
   long matchIndex;
 
-  /** The next entry to send; runs ahead of the acknowledgements. */
+  /** Index of the next entry to send; advances without waiting for acknowledgements. */
   long nextIndex;
 
   long lastAckAt;
   long lastProgressAt;
   long lastSentAt;
 
-  /** The snapshot that is being sent, with the next part. */
+  /** Snapshot in transfer, or null. Its next chunk starts at {@link #snapshotOffset}. */
   @Nullable Snapshot snapshot;
 
   int snapshotOffset;
 
-  /** When the last part was sent; heartbeats in between must not put off sending it again. */
+  /**
+   * Time of the last chunk sent. Separate from {@link #lastSentAt}, because heartbeats in between
+   * must not postpone resending the chunk.
+   */
   long chunkSentAt;
 
   PeerProgress(long nextIndex, long now) {
--- a/burdockbay-core/src/main/java/org/burdockbay/core/agreement/RaftEffect.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/agreement/RaftEffect.java
@@ -4,15 +4,19 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 
-/** What a {@link RaftNode} wants done. */
+/** Effect requested by a {@link RaftNode}. */
 public sealed interface RaftEffect {
 
   /**
-   * Writes and syncs, in the order of the tickets; {@link RaftNode#persisted} then takes the
-   * ticket.
+   * Writes and syncs state, in the order of the tickets. {@link RaftNode#persisted} is called with
+   * the ticket afterwards.
    *
-   * @param snapshot replaces the log up to its index
-   * @param truncateFrom the first entry to remove, before the new ones are added
+   * @param ticket number of this write
+   * @param hardState term and vote, if changed
+   * @param snapshot snapshot that replaces the log up to its index, if any
+   * @param truncateFrom index from which existing entries are removed before the new ones are
+   *     appended
+   * @param entries entries to append
    */
   record Persist(
       long ticket,
@@ -22,27 +26,27 @@
       List<LogEntry> entries)
       implements RaftEffect {
 
-    /** Copies the entries. */
+    /** Copies the entries to make the effect immutable. */
     public Persist {
       entries = List.copyOf(entries);
     }
   }
 
-  /** Sends a message; it may be lost, delayed, duplicated or reordered. */
+  /** Sends a message, which may be lost, delayed, duplicated or reordered. */
   record Send(RaftMessage message) implements RaftEffect {}
 
-  /** Applies committed entries, in order and each once. */
+  /** Applies committed entries to the state machine, in order and exactly once. */
   record Apply(List<LogEntry> entries) implements RaftEffect {
 
-    /** Copies the entries. */
+    /** Copies the entries to make the effect immutable. */
     public Apply {
       entries = List.copyOf(entries);
     }
   }
 
-  /** Replaces the state machine's state. */
+  /** Replaces the state of the state machine by a snapshot. */
   record Restore(Snapshot snapshot) implements RaftEffect {}
 
-  /** The role, the term or the leader changed. */
+  /** The role or the known leader of this member has changed. */
   record RoleChanged(RaftRole role, long term, Optional<VoterId> leader) implements RaftEffect {}
 }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/agreement/RaftLog.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/agreement/RaftLog.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The entries in memory, from a base that a snapshot covers. */
+/** Log entries in memory that follow the base, the last entry that was discarded. */
 final class RaftLog {
 
   private final TreeMap<Long, VoterSet> voterSets = new TreeMap<>();
@@ -35,7 +35,7 @@
     return entries.isEmpty() ? baseTimeMillis : entries.getLast().timeMillis();
   }
 
-  /** Returns the term of an entry, or -1 if it is not known here. */
+  /** Returns the term of an entry, or -1 if this log doesn't contain it. */
   long term(long index) {
     if (index == baseIndex) {
       return baseTerm;
@@ -50,21 +50,30 @@
     return entries.get((int) (index - baseIndex - 1));
   }
 
-  /** Returns entries from an index on, up to the given count and size in bytes. */
+  /**
+   * Returns entries starting at an index.
+   *
+   * @param count maximum number of entries
+   * @param bytes total command size after which no further entry is added
+   */
   List<LogEntry> entriesFrom(long index, int count, int bytes) {
-    List<LogEntry> part = new ArrayList<>();
+    List<LogEntry> result = new ArrayList<>();
     int size = 0;
-    for (long i = index; i <= lastIndex() && part.size() < count && size < bytes; i++) {
+    for (long i = index; i <= lastIndex() && result.size() < count && size < bytes; i++) {
       LogEntry entry = entry(i);
-      part.add(entry);
+      result.add(entry);
       size += entry.commandBytes();
     }
-    return part;
+    return result;
   }
 
   /**
-   * Returns the index to compact to so that at most {@code count} entries up to the given index
-   * remain. Their commands may exceed the given size in bytes by part of the oldest one.
+   * Returns the index up to which the log can be compacted so that a limited number of entries up
+   * to the given index remains.
+   *
+   * @param index last entry that may be discarded
+   * @param count maximum number of entries to retain
+   * @param bytes limit for the size of the retained commands, which the oldest one may exceed
    */
   long compactionIndex(long index, int count, long bytes) {
     long base = index;
@@ -79,7 +88,7 @@
   void append(LogEntry entry) {
     if (entry.index() != lastIndex() + 1) {
       throw new IllegalArgumentException(
-          "entry " + entry.index() + " doesn't follow " + lastIndex());
+          "log entry " + entry.index() + " doesn't follow last entry " + lastIndex());
     }
     entries.add(entry);
     if (entry.content() instanceof EntryContent.Members members) {
@@ -92,7 +101,7 @@
     voterSets.tailMap(index, true).clear();
   }
 
-  /** Drops entries up to an index, which must be applied. */
+  /** Discards entries up to an index, which must have been applied. */
   void compact(long index) {
     if (index <= baseIndex) {
       return;
@@ -107,7 +116,7 @@
     baseTimeMillis = base.timeMillis();
   }
 
-  /** Replaces the whole log by a snapshot. */
+  /** Replaces the entire log by a snapshot. */
   void reset(Snapshot snapshot) {
     entries = new ArrayList<>();
     voterSets.clear();
@@ -117,12 +126,15 @@
     baseTimeMillis = snapshot.timeMillis();
   }
 
-  /** Returns the members; a change counts from its entry on, committed or not. */
+  /**
+   * Returns the current members. A change takes effect when its entry is appended, whether
+   * committed or not.
+   */
   VoterSet voters() {
     return voterSets.isEmpty() ? VoterSet.EMPTY : voterSets.lastEntry().getValue();
   }
 
-  /** Returns the entry that set the members. */
+  /** Returns the index of the entry that set the current members. */
   long votersIndex() {
     return voterSets.isEmpty() ? 0 : voterSets.lastKey();
   }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/agreement/RaftMessage.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/agreement/RaftMessage.java
@@ -2,23 +2,25 @@
 
 import java.util.List;
 
-/** A message between two members of a group. */
+/** Message between two members of a group. */
 public sealed interface RaftMessage {
 
   /** Returns the sender. */
   VoterId from();
 
-  /** Returns the member that it is meant for. */
+  /** Returns the recipient. */
   VoterId to();
 
   /** Returns the sender's term. */
   long term();
 
   /**
-   * Asks for a vote.
+   * Requests a vote.
    *
-   * @param preVote whether it only asks if a vote would be given
-   * @param transfer whether the leader asked for this election
+   * @param lastLogIndex index of the candidate's last log entry
+   * @param lastLogTerm term of the candidate's last log entry
+   * @param preVote whether this is a pre-vote, which only asks if a vote would be granted
+   * @param transfer whether the election is part of a leadership transfer
    */
   record VoteRequest(
       VoterId from,
@@ -30,11 +32,17 @@
       boolean transfer)
       implements RaftMessage {}
 
-  /** Answers a {@link VoteRequest}. */
+  /** Replies to a {@link VoteRequest}. */
   record VoteReply(VoterId from, VoterId to, long term, boolean granted, boolean preVote)
       implements RaftMessage {}
 
-  /** Sends entries after a given one; without entries it is a heartbeat. */
+  /**
+   * Replicates the log entries that follow a given one; without entries, it is a heartbeat.
+   *
+   * @param prevLogIndex index of the entry that precedes the new ones
+   * @param prevLogTerm term of that entry
+   * @param commitIndex highest index that the leader has committed
+   */
   record AppendRequest(
       VoterId from,
       VoterId to,
@@ -45,30 +53,40 @@
       long commitIndex)
       implements RaftMessage {
 
-    /** Copies the entries. */
+    /** Copies the entries to make the message immutable. */
     public AppendRequest {
       entries = List.copyOf(entries);
     }
   }
 
   /**
-   * Answers an {@link AppendRequest}.
+   * Replies to an {@link AppendRequest}.
    *
-   * @param index if accepted, the last entry that is synced and equals the leader's; if not, where
-   *     the leader should go on
+   * @param index if accepted, index of the last entry that is synced and matches the leader's log;
+   *     otherwise the index from which the leader is to continue
    */
   record AppendReply(VoterId from, VoterId to, long term, boolean accepted, long index)
       implements RaftMessage {}
 
-  /** Sends a part of a snapshot; {@code snapshot} holds only that part of the data. */
+  /**
+   * Transfers a chunk of a snapshot.
+   *
+   * @param snapshot snapshot whose data contains only this chunk
+   * @param offset position of the chunk within the data, in bytes
+   * @param totalSize size of the complete data, in bytes
+   */
   record SnapshotChunk(
       VoterId from, VoterId to, long term, Snapshot snapshot, int offset, int totalSize)
       implements RaftMessage {}
 
-  /** Tells up to where the parts of the snapshot have arrived. */
+  /**
+   * Acknowledges the snapshot chunks received so far.
+   *
+   * @param nextOffset position of the next chunk within the data, in bytes
+   */
   record SnapshotReply(VoterId from, VoterId to, long term, long snapshotIndex, int nextOffset)
       implements RaftMessage {}
 
-  /** Asks the receiver to campaign at once. */
+  /** Instructs the receiver to start an election immediately. */
   record TimeoutNow(VoterId from, VoterId to, long term) implements RaftMessage {}
 }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/agreement/RaftNode.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/agreement/RaftNode.java
@@ -12,25 +12,32 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One member of an agreement group.
+ * Member of an agreement group.
  *
- * <p>Elections with pre-vote and a leader that steps down without a quorum follow Ongaro's thesis
- * (2014, sections 9.6 and 6.2), membership changes of one voter at a time its section 4.1.
+ * <p>Pre-vote and the step-down of a leader without a quorum follow Ongaro's thesis (2014, sections
+ * 9.6 and 6.2); single-server membership changes follow section 4.1.
  *
- * <p>Not safe for use by several threads; the control thread owns it.
+ * <p>This class is not thread-safe; it is confined to the control thread.
  */
 public final class RaftNode {
 
-  /** Applied entries retained after a snapshot so that lagging members can catch up without it. */
+  /**
+   * Maximum number of applied entries retained after a snapshot, so that lagging members can catch
+   * up without the snapshot.
+   */
   private static final int MAX_TRAILING_ENTRIES = 2_000;
 
-  /** Size of the commands in the retained entries at which no older entry is retained. */
+  /**
+   * Size of the commands in the retained entries, in bytes, at which no older entry is retained.
+   */
   private static final long MAX_TRAILING_BYTES = 1024 * 1024;
 
-  /** Number of entries applied since the last snapshot at which a new one is due. */
+  /** Number of entries applied since the last snapshot that makes a new snapshot due. */
   static final long COMPACTION_THRESHOLD_ENTRIES = 10_000;
 
-  /** Size of the commands applied since the last snapshot at which a new one is due. */
+  /**
+   * Size of the commands applied since the last snapshot, in bytes, that makes a new snapshot due.
+   */
   static final long COMPACTION_THRESHOLD_BYTES = 4 * 1024 * 1024;
 
   private final VoterId self;
@@ -61,18 +68,19 @@
   private long lastTicket;
 
   /**
-   * The ticket that removes entries last. A write that was queued before it may carry the same
-   * entries as a later one; counting it would promise what the removal is about to take away.
+   * Ticket of the last write that truncates the log. An earlier write may contain the same entries
+   * as a later one; counting them as synced would acknowledge entries that the truncation is about
+   * to remove.
    */
   private long truncationTicket;
 
   private long electionTimeoutAt;
   private long lastLeaderContactAt = Long.MIN_VALUE / 2;
 
-  /** Whether there was a leader, perhaps this member, since it started. */
+  /** Whether a leader, possibly this member itself, has been known since the start. */
   private boolean hasKnownLeader;
 
-  /** How often it has campaigned, or put that off, since it started and before any leader. */
+  /** Number of election timeouts set since the start, while no leader has been known. */
   private int initialElectionTimeouts;
 
   private long leaderStartedAt;
@@ -81,10 +89,10 @@
   private long now;
 
   /**
-   * Creates a member from what its data folder held.
+   * Creates a member from the content of its data folder.
    *
-   * @param seed seed of the election timeouts
-   * @param now the time, in milliseconds
+   * @param seed seed for the randomized election timeouts
+   * @param now current time, in milliseconds
    */
   public RaftNode(VoterId self, RecoveredLog recovered, RaftTiming timing, long seed, long now) {
     this.self = self;
@@ -102,11 +110,11 @@
     resetElectionTimeout();
   }
 
-  /** Handles a message of another member. */
+  /** Handles a message from another member. */
   public List<RaftEffect> receive(RaftMessage message, long time) {
     now = Math.max(now, time);
     if (!message.to().equals(self)) {
-      // Meant for an earlier incarnation of this host's data folder.
+      // Addressed to an earlier incarnation of this host's data folder.
       return flush();
     }
     switch (message) {
@@ -134,13 +142,13 @@
     return flush();
   }
 
-  /** Lets time pass: elections, heartbeats and the leader's own check for a quorum. */
+  /** Advances time, which drives elections, heartbeats and the leader's quorum check. */
   public List<RaftEffect> tick(long time) {
     now = Math.max(now, time);
     if (role == RaftRole.LEADER) {
       if (!replication.hasQuorumContact(self, now)) {
-        // Cut off in silence: without a quorum this leader can commit nothing, and another may be
-        // elected on the other side. It must stop answering as leader by itself.
+        // Without contact to a quorum this leader can't commit entries, and another leader may be
+        // elected on the other side of a network partition. It must step down on its own.
         becomeFollower(hardState.term(), Optional.empty());
       } else {
         replication.tick(now);
@@ -151,7 +159,7 @@
     return flush();
   }
 
-  /** Takes note that everything up to the ticket is written and synced. */
+  /** Handles the completion of all writes and syncs up to a ticket. */
   public List<RaftEffect> persisted(long ticket, long time) {
     now = Math.max(now, time);
     while (!pendingPersists.isEmpty() && pendingPersists.peek().ticket <= ticket) {
@@ -170,10 +178,11 @@
   }
 
   /**
-   * Appends a command if this member leads; {@link #flush} starts its replication, so that several
-   * proposals share one message and one sync.
+   * Appends a command if this member is the leader. {@link #flush} starts the replication, so that
+   * several proposals share one message and one sync.
    *
-   * @return the index of the entry, or empty if this member doesn't lead or is handing over
+   * @return the index of the entry, or empty if this member isn't the leader or is transferring
+   *     leadership
    */
   public OptionalLong propose(Bytes command, long time) {
     now = Math.max(now, time);
@@ -184,22 +193,25 @@
   }
 
   /**
-   * Changes the members by at most one voter, if this member leads and the change before is
-   * committed.
+   * Changes the members by at most one voter, if this member is the leader and the previous change
+   * is committed.
    *
    * @return whether the change was appended
    */
   public boolean proposeMembers(VoterSet next, long time) {
     now = Math.max(now, time);
-    boolean settled = log.votersIndex() <= commitIndex && log.term(commitIndex) == hardState.term();
-    if (role != RaftRole.LEADER || !settled || !log.voters().isSingleVoterChange(next)) {
+    boolean previousChangeCommitted =
+        log.votersIndex() <= commitIndex && log.term(commitIndex) == hardState.term();
+    if (role != RaftRole.LEADER
+        || !previousChangeCommitted
+        || !log.voters().isSingleVoterChange(next)) {
       return false;
     }
     appendAsLeader(new EntryContent.Members(next));
     return true;
   }
 
-  /** Hands leadership to the most advanced other voter; used by a planned stop. */
+  /** Transfers leadership to the most up-to-date other voter; used by a planned stop. */
   public List<RaftEffect> transferLeadership(long time) {
     now = Math.max(now, time);
     if (role == RaftRole.LEADER && now >= transferTimeoutAt) {
@@ -214,7 +226,11 @@
     return flush();
   }
 
-  /** Replaces the applied part of the log by the state machine's state. */
+  /**
+   * Replaces the applied part of the log by a snapshot.
+   *
+   * @param state encoded state of the state machine after the last applied entry
+   */
   public List<RaftEffect> compact(Bytes state) {
     if (appliedIndex <= log.baseIndex()
         || snapshot.map(last -> last.index() >= appliedIndex).orElse(false)) {
@@ -231,7 +247,7 @@
     return flush();
   }
 
-  /** Returns what is to be done since the last call. */
+  /** Returns the effects requested since the last call. */
   public List<RaftEffect> flush() {
     if (role == RaftRole.LEADER) {
       replication.replicate(now);
@@ -243,44 +259,44 @@
     return taken;
   }
 
-  /** Returns this member's id. */
+  /** Returns the id of this member. */
   public VoterId self() {
     return self;
   }
 
-  /** Returns the role. */
+  /** Returns the current role. */
   public RaftRole role() {
     return role;
   }
 
-  /** Returns the term. */
+  /** Returns the current term. */
   public long term() {
     return hardState.term();
   }
 
-  /** Returns the leader as far as this member knows. */
+  /** Returns the leader known to this member, if any. */
   public Optional<VoterId> leader() {
     return leader;
   }
 
-  /** Returns the members, a change that isn't committed yet included. */
+  /** Returns the members, including a change that isn't committed yet. */
   public VoterSet voters() {
     return log.voters();
   }
 
-  /** Returns the last committed entry that this member knows of. */
+  /** Returns the highest index known to be committed. */
   public long commitIndex() {
     return commitIndex;
   }
 
-  /** Returns the last entry. */
+  /** Returns the index of the last log entry. */
   public long lastIndex() {
     return log.lastIndex();
   }
 
   /**
    * Returns whether a new snapshot is due. The limits on entries and bytes bound the replay after a
-   * restart and the memory and disk space that the log takes.
+   * restart and the memory and disk space used by the log.
    */
   public boolean isCompactionDue() {
     return entriesSinceSnapshot() >= COMPACTION_THRESHOLD_ENTRIES
@@ -292,12 +308,12 @@
     return log.lastIndex() - log.baseIndex();
   }
 
-  /** Returns the number of entries that a restart would replay. */
+  /** Returns the number of applied entries that a restart would replay. */
   public long entriesSinceSnapshot() {
     return appliedIndex - snapshot.map(Snapshot::index).orElse(0L);
   }
 
-  /** Returns whether the learner holds, synced, all that is committed. */
+  /** Returns whether a learner has synced all committed entries. */
   public boolean isCaughtUp(VoterId learner) {
     return role == RaftRole.LEADER
         && log.term(commitIndex) == hardState.term()
@@ -313,11 +329,12 @@
   }
 
   private void handleVoteRequest(RaftMessage.VoteRequest request) {
-    boolean leaderAlive =
+    boolean isLeaderAlive =
         role == RaftRole.LEADER || now - lastLeaderContactAt < timing.electionTimeoutMillis();
     boolean newerTerm = request.term() > hardState.term();
-    if (leaderAlive && !request.transfer()) {
-      // A member that lost the leader alone, or was removed, must not unseat a working one.
+    if (isLeaderAlive && !request.transfer()) {
+      // A member that alone lost contact to the leader, or was removed, must not disrupt a working
+      // leader.
       replyToVoteRequest(request, false);
       return;
     }
@@ -332,10 +349,10 @@
       replyToVoteRequest(request, newerTerm && upToDate);
       return;
     }
-    boolean free =
+    boolean canVote =
         request.term() == hardState.term()
             && hardState.votedFor().map(request.from()::equals).orElse(true);
-    boolean granted = free && upToDate;
+    boolean granted = canVote && upToDate;
     if (granted && hardState.votedFor().isEmpty()) {
       setHardState(new HardState(hardState.term(), Optional.of(request.from())));
       resetElectionTimeout();
@@ -348,7 +365,7 @@
     RaftMessage.VoteReply reply =
         new RaftMessage.VoteReply(self, request.from(), term, granted, request.preVote());
     if (granted && !request.preVote()) {
-      // A vote that isn't durable could be given again after a crash, to another candidate.
+      // A vote that isn't durable could be granted again after a crash, to another candidate.
       messagesAwaitingSync.add(reply);
     } else {
       send(reply);
@@ -407,7 +424,7 @@
 
   private void countVote(VoterId voter) {
     votes.add(voter);
-    // The own vote counts only once it is synced, as everybody else's.
+    // This member's own vote counts only once it is synced, like all other votes.
     if (votes.contains(self) && log.voters().hasQuorum(votes::contains)) {
       becomeLeader();
     }
@@ -484,7 +501,10 @@
     acknowledge(request.from(), lastNew);
   }
 
-  /** Acknowledges what is synced at once, so that a slow sync doesn't look like a dead member. */
+  /**
+   * Acknowledges synced entries immediately, so that a slow sync doesn't appear as a failed member,
+   * and the remaining entries after their sync.
+   */
   private void acknowledge(VoterId to, long lastNew) {
     send(
         new RaftMessage.AppendReply(
@@ -495,10 +515,10 @@
     }
   }
 
-  private void rejectAppend(RaftMessage.AppendRequest request, long goOnAt) {
+  private void rejectAppend(RaftMessage.AppendRequest request, long nextIndex) {
     send(
         new RaftMessage.AppendReply(
-            self, request.from(), hardState.term(), false, Math.max(goOnAt, commitIndex + 1)));
+            self, request.from(), hardState.term(), false, Math.max(nextIndex, commitIndex + 1)));
   }
 
   private long firstIndexOfTerm(long index) {
@@ -513,7 +533,7 @@
   private void truncate(long index) {
     if (index <= commitIndex) {
       throw new IllegalStateException(
-          self + " was asked to truncate " + index + ", committed up to " + commitIndex);
+          self + ": can't truncate the log from " + index + ", committed up to " + commitIndex);
     }
     log.truncateFrom(index);
     syncedIndex = Math.min(syncedIndex, index - 1);
@@ -532,8 +552,8 @@
       return;
     }
     if (log.term(part.index()) == part.term()) {
-      // The log holds the snapshot's last entry, and may hold later ones that were acknowledged.
-      // Replacing it would take those back, and a leader without them could be elected.
+      // The log contains the snapshot's last entry and may contain later, acknowledged ones.
+      // Replacing the log would discard those, and a leader without them could be elected.
       commitIndex = part.index();
       acknowledge(chunk.from(), part.index());
       return;
@@ -584,7 +604,8 @@
       return;
     }
     long quorumIndex = replication.quorumIndex(self, syncedIndex);
-    // Only an entry of the own term commits by counting; it commits the ones before with it.
+    // Only entries of the current term are committed by counting replicas; they also commit all
+    // preceding entries.
     if (quorumIndex > commitIndex && log.term(quorumIndex) == hardState.term()) {
       commitIndex = quorumIndex;
     }
@@ -600,12 +621,12 @@
   }
 
   /**
-   * Sets when this member campaigns if it hears of no leader.
+   * Sets the time at which this member starts an election unless a leader contacts it.
    *
-   * <p>A member that has just started asks soon: where all were killed, nothing is configured until
-   * one leads. Where a leader is alive the others refuse the pre-vote, and nothing is lost by it.
-   * The time doubles with each try: if it is too short for messages and syncs, members that
-   * campaign side by side would split the votes for ever.
+   * <p>A member that has just started uses a short timeout, because after a crash of all hosts no
+   * configuration is available until a leader is elected. If a leader is alive, the other members
+   * deny the pre-vote without side effects. The timeout doubles with each attempt: if it were too
+   * short for messages and syncs, concurrent candidates would split the votes indefinitely.
    */
   private void resetElectionTimeout() {
     long shortest = timing.electionTimeoutMillis();
@@ -620,12 +641,12 @@
   }
 
   private void persist() {
-    boolean nothing =
+    boolean nothingToPersist =
         !hardStateChanged
             && unpersistedEntries.isEmpty()
             && truncateFrom.isEmpty()
             && unpersistedSnapshot == null;
-    if (nothing) {
+    if (nothingToPersist) {
       if (pendingPersists.isEmpty()) {
         messagesAwaitingSync.forEach(this::sendAfterSync);
         messagesAwaitingSync = new ArrayList<>();
@@ -652,7 +673,10 @@
     unpersistedSnapshot = null;
   }
 
-  /** Sends a message that waited for a sync, unless the term has moved on meanwhile. */
+  /**
+   * Sends a message that waited for a sync, unless the term has changed or the acknowledged entries
+   * have been truncated since.
+   */
   private void sendAfterSync(RaftMessage message) {
     boolean stale =
         message.term() != hardState.term()
--- a/burdockbay-core/src/main/java/org/burdockbay/core/agreement/RaftRole.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/agreement/RaftRole.java
@@ -1,13 +1,15 @@
 package org.burdockbay.core.agreement;
 
-/** What a member does at present. */
+/** Current role of a member. */
 public enum RaftRole {
-  /** Follows a leader, or waits for one. */
+  /** Follows a leader, or waits for a leader to contact it. */
   FOLLOWER,
-  /** Asks whether an election would succeed, without raising its term. */
+  /**
+   * Requests pre-votes to determine whether an election could succeed, without increasing its term.
+   */
   PRE_CANDIDATE,
-  /** Asks for votes. */
+  /** Requests votes in an election. */
   CANDIDATE,
-  /** Appends and replicates. */
+  /** Appends entries and replicates them. */
   LEADER
 }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/agreement/RaftTiming.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/agreement/RaftTiming.java
@@ -1,14 +1,15 @@
 package org.burdockbay.core.agreement;
 
 /**
- * Times of a group, in milliseconds.
+ * Intervals and timeouts of a group, in milliseconds.
  *
- * @param heartbeatIntervalMillis between heartbeats of the leader
- * @param electionTimeoutMillis shortest silence before a member campaigns; the longest is twice
- *     that
- * @param initialElectionTimeoutMillis the same for a member that hasn't heard of any leader since
- *     it started
- * @param resendTimeoutMillis silence of a member before entries are sent to it again
+ * @param heartbeatIntervalMillis interval between heartbeats of the leader
+ * @param electionTimeoutMillis minimum election timeout; the actual timeout is randomized up to
+ *     twice this value
+ * @param initialElectionTimeoutMillis minimum election timeout of a member that hasn't known any
+ *     leader since it started; doubled with each timeout
+ * @param resendTimeoutMillis time without progress of a member before entries or snapshot chunks
+ *     are resent to it
  */
 public record RaftTiming(
     long heartbeatIntervalMillis,
@@ -16,6 +17,6 @@
     long initialElectionTimeoutMillis,
     long resendTimeoutMillis) {
 
-  /** Times for round trips of a few milliseconds. */
+  /** Timing for networks with round-trip times of a few milliseconds. */
   public static final RaftTiming DEFAULT = new RaftTiming(200, 600, 150, 400);
 }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/agreement/RecoveredLog.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/agreement/RecoveredLog.java
@@ -4,26 +4,28 @@
 import java.util.Optional;
 
 /**
- * What a voter's data folder held at the start. All of it is synced: the voter counts and
- * acknowledges it from the start on.
+ * Content of a member's data folder at startup. All of it is synced, so the member counts and
+ * acknowledges it immediately.
  *
- * @param hardState term and vote
- * @param snapshot the newest snapshot, if any
- * @param entries the entries after the snapshot, without gaps
+ * @param hardState current term and vote
+ * @param snapshot latest snapshot, if any
+ * @param entries log entries after the snapshot, without gaps
  */
 public record RecoveredLog(
     HardState hardState, Optional<Snapshot> snapshot, List<LogEntry> entries) {
 
-  /** An empty data folder. */
+  /** Content of an empty data folder. */
   public static final RecoveredLog EMPTY =
       new RecoveredLog(HardState.INITIAL, Optional.empty(), List.of());
 
-  /** Copies the entries. */
+  /** Copies the entries to make the record immutable. */
   public RecoveredLog {
     entries = List.copyOf(entries);
   }
 
-  /** Returns the log with which the first voters of a group start: its members, agreed by hand. */
+  /**
+   * Returns the initial log of the first voters of a group, which contains the predefined members.
+   */
   public static RecoveredLog bootstrap(List<VoterId> voters) {
     EntryContent members = new EntryContent.Members(new VoterSet(voters, List.of()));
     return new RecoveredLog(
--- a/burdockbay-core/src/main/java/org/burdockbay/core/agreement/Snapshot.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/agreement/Snapshot.java
@@ -1,12 +1,12 @@
 package org.burdockbay.core.agreement;
 
 /**
- * The state machine's state after an entry, in place of the log up to it.
+ * State of the state machine after an entry, which replaces the log up to that entry.
  *
- * @param index the last entry that it contains
- * @param term the term of that entry
- * @param timeMillis the group's time at that entry
- * @param voters the members as of that entry
- * @param data the state
+ * @param index index of the last entry included
+ * @param term term of that entry
+ * @param timeMillis time of the group at that entry, in milliseconds
+ * @param voters members of the group as of that entry
+ * @param data encoded state
  */
 public record Snapshot(long index, long term, long timeMillis, VoterSet voters, Bytes data) {}
--- a/burdockbay-core/src/main/java/org/burdockbay/core/agreement/VoterId.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/agreement/VoterId.java
@@ -1,13 +1,13 @@
 package org.burdockbay.core.agreement;
 
 /**
- * Identity of a voter: the host and the incarnation of its data folder.
+ * Identity of a member: the host and the incarnation of its data folder.
  *
- * <p>A host whose disk was wiped has another incarnation and so is another voter. Otherwise it
- * could vote again in a term in which it has voted, and a committed entry could be lost.
+ * <p>A host whose disk was erased gets a new incarnation and is therefore a different member.
+ * Otherwise it could vote twice in the same term, and a committed entry could be lost.
  *
  * @param host id of the host
- * @param incarnation number made when the data folder was created
+ * @param incarnation number generated when the data folder is created
  */
 public record VoterId(String host, long incarnation) {
 
--- a/burdockbay-core/src/main/java/org/burdockbay/core/clock/Clock.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/clock/Clock.java
@@ -1,22 +1,23 @@
 package org.burdockbay.core.clock;
 
 /**
- * Tells the current time in milliseconds.
+ * Provides the current time in milliseconds.
  *
- * <p>The parts of the core take the time as an argument; only the processes around them hold a
- * clock.
+ * <p>The state machines of the core receive the time as an argument; only the surrounding processes
+ * hold a clock.
  */
 @FunctionalInterface
 public interface Clock {
 
-  /** Returns the current time in milliseconds since the Unix epoch; it never steps backwards. */
+  /** Returns the current time in milliseconds since the Unix epoch. The value never decreases. */
   long millis();
 
   /**
    * Returns a clock that reads the wall time once and then advances with the monotonic timer.
    *
-   * <p>A step of the wall clock while the process runs (an operator, a time daemon) would otherwise
-   * expire every lease at once or keep dead ones alive; the monotonic timer is not subject to it.
+   * <p>A step of the wall clock while the process runs, by an operator or a time daemon, would
+   * otherwise expire all leases at once or keep leases of lost hosts valid. The monotonic timer is
+   * not affected by such steps.
    */
   static Clock monotonic() {
     long wallMillis = System.currentTimeMillis();
--- a/burdockbay-core/src/main/java/org/burdockbay/core/clock/package-info.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/clock/package-info.java
@@ -1,2 +1,2 @@
-/** The clock of the project, in milliseconds. */
+/** Source of the current time, in milliseconds. */
 package org.burdockbay.core.clock;
--- a/burdockbay-core/src/main/java/org/burdockbay/core/membership/HostDescriptor.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/membership/HostDescriptor.java
@@ -1,11 +1,11 @@
 package org.burdockbay.core.membership;
 
 /**
- * What a host has to know of another one to talk to it.
+ * Describes a host to the other hosts, which connect to it by this information.
  *
- * @param id its id
- * @param group hosts of one group elect one dispatcher
- * @param domain its failure domain
- * @param address IP address and port where it listens for other hosts
+ * @param id id of the host
+ * @param group group of hosts that elect dispatchers among themselves
+ * @param domain failure domain of the host
+ * @param address IP address and port at which the host accepts connections of other hosts
  */
 public record HostDescriptor(String id, String group, String domain, String address) {}
--- a/burdockbay-core/src/main/java/org/burdockbay/core/membership/HostStatus.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/membership/HostStatus.java
@@ -5,21 +5,21 @@
 import org.burdockbay.core.shard.ShardLayout;
 
 /**
- * What a host tells of itself in each heartbeat.
+ * Status that a host reports in each heartbeat.
  *
- * @param host its id
- * @param domain its group; the hosts of one group elect dispatchers among them
- * @param incarnation a number that differs between runs of the process
- * @param storageIncarnation identity of its data folder; 0 where it has none
- * @param configurationVersion the version in force on it
- * @param dispatcherEpoch the epoch under which it dispatches; 0 while it doesn't
- * @param highestEpoch the highest epoch of its group that it has seen
- * @param draining whether it is stopping
- * @param leader the host that it takes for the leader of the agreement group; may be empty
- * @param load its load; of use only where it dispatches
- * @param failureDomain its failure domain; empty where that is its group
- * @param layout the largest layout that it knows
- * @param shard the shard that it dispatches; of use only where it does
+ * @param host id of the host
+ * @param domain group of the host; the hosts of a group elect dispatchers among themselves
+ * @param incarnation incarnation of the process; rises with each restart
+ * @param storageIncarnation incarnation of the data folder; 0 without a data folder
+ * @param configurationVersion version of the configuration in force on the host
+ * @param dispatcherEpoch epoch under which the host dispatches; 0 while it doesn't dispatch
+ * @param highestEpoch highest epoch of the group that the host has seen
+ * @param draining whether the host is stopping
+ * @param leader id of the last known leader of the agreement group; empty if unknown
+ * @param load load of the dispatcher; meaningful only while the host dispatches
+ * @param failureDomain failure domain of the host; empty if it equals the group
+ * @param layout largest shard layout known to the host
+ * @param shard shard that the host dispatches; meaningful only while the host dispatches
  */
 public record HostStatus(
     String host,
@@ -36,7 +36,7 @@
     ShardLayout layout,
     ShardId shard) {
 
-  /** Creates the status of a host of a fleet that isn't divided. */
+  /** Creates the status of a host in a fleet that isn't divided into shards. */
   public HostStatus(
       String host,
       String domain,
@@ -64,7 +64,7 @@
         ShardId.WHOLE_FLEET);
   }
 
-  /** Returns whether another status differs at most in the load. */
+  /** Returns whether this status equals another one, apart from the load. */
   public boolean equalsIgnoringLoad(HostStatus other) {
     return new HostStatus(
             host,
--- a/burdockbay-core/src/main/java/org/burdockbay/core/membership/Membership.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/membership/Membership.java
@@ -19,69 +19,82 @@
 import org.burdockbay.core.shard.ShardLayout;
 
 /**
- * Liveness of the hosts by heartbeat, and the dispatcher roles of this host's group.
+ * Tracks the liveness of hosts by heartbeats and elects the dispatchers of this host's group.
  *
- * <p>Silence isn't death: a host that is silent here may be alive and still dispatching on the
- * other side of a network partition. So the role carries an epoch that rises with each claim, and
- * the runners enforce it. The role is sticky, since each change costs a rebuild: a claim is made
- * only when no live host of the group holds one.
+ * <p>A silent host isn't necessarily stopped: it may still dispatch on the other side of a network
+ * partition. Each claim of the role therefore carries a higher epoch, which the upstreams use as a
+ * fencing token. The role is sticky because each change requires a rebuild of the dispatcher's
+ * state: a host claims it only if no live host of the group holds it.
  *
- * <p>A fleet that isn't divided has one role. A divided one has a role for each shard, which the
- * hosts of the shard's failure domain take; a host has one role at a time.
+ * <p>An undivided fleet has one dispatcher. A divided fleet has one dispatcher for each shard,
+ * elected among the hosts of the shard's failure domain. A host dispatches at most one shard.
  */
 public final class Membership {
 
-  /** Silence after which a host counts as lost, in milliseconds. */
+  /** Silence after which a host is considered lost, in milliseconds. */
   public static final long SILENCE_TIMEOUT_MILLIS = 2_000;
 
   /**
-   * For how long a shard without a dispatcher keeps its upstreams, in milliseconds: an ordinary
-   * takeover is over by then, and moving them to other shards and back would cost two rebuilds.
+   * Time for which a shard without a dispatcher keeps its upstreams, in milliseconds. A regular
+   * takeover completes within this time; moving the upstreams to other shards and back would cost
+   * two rebuilds.
    */
   static final long VACANCY_GRACE_MILLIS = 2_000;
 
   /**
-   * The same for shards of a failure domain of which no host is heard, in milliseconds: longer than
-   * most partitions. The domain's own dispatchers go on behind one, and would be outbid by others
-   * that reach none of its upstreams.
+   * Time for which the shards of a failure domain without a live host keep their upstreams, in
+   * milliseconds. It exceeds the duration of most network partitions: the dispatchers of a
+   * partitioned domain continue to work, and must not be superseded by dispatchers that can't reach
+   * the upstreams of that domain.
    */
   static final long LOST_DOMAIN_GRACE_MILLIS = 20_000;
 
-  /** By how many rounds an unknown higher claim is outbid: clocks may differ by some seconds. */
+  /**
+   * Rounds added to an epoch to supersede an unknown higher claim; clocks may differ by some
+   * seconds.
+   */
   private static final long SUPERSEDE_ROUNDS = 10;
 
   /**
-   * How many times more rounds each further claim is worth that was never obeyed. Such a claim is
-   * below one that nobody remembers, however far, and each refusal costs seconds without service.
+   * Factor by which the added rounds grow with each further claim that upstreams never accepted.
+   * The claim that they have seen is unknown to all hosts and may be far higher, and each refusal
+   * costs seconds without service.
    */
   private static final long SUPERSEDE_GROWTH_FACTOR = 8;
 
-  /** The most rounds at once: hosts that are refused for weeks must not run out of epochs. */
+  /**
+   * Upper limit of the added rounds, so that hosts whose claims are refused for weeks don't run out
+   * of epochs.
+   */
   private static final long MAX_SUPERSEDE_ROUNDS = 640;
 
   /**
-   * A host that finds the others by itself, and hasn't heard all that it was told of, claims
-   * nothing before it has heard some for so many times the silence that counts as a loss. Counted
-   * from the start of the process it would claim before its first connection is up: a restart takes
-   * longer than that, and a claim of a host that knows no upstream replaces a dispatcher that
-   * serves.
+   * Settle time of a host that discovers its peers, as a multiple of the silence timeout. Until it
+   * has contacted all known hosts, it makes no claim within this time from the first contact.
+   * Counting from the start of the process would permit a claim before the first connection is
+   * established, as a restart takes longer than that; the claim of a host that knows no upstreams
+   * would then replace a working dispatcher.
    */
   private static final long SETTLE_TIMEOUT_MULTIPLE = 2;
 
   /**
-   * The same in a divided fleet, where a shard that looks vacant may belong to any one of many
-   * hosts, and a host that has just started takes longer to hear all of them.
+   * Settle time in a divided fleet, as a multiple of the silence timeout. A shard that appears
+   * vacant may belong to any one of many hosts, and a host that has just started needs longer to
+   * contact all of them.
    */
   private static final long DIVIDED_SETTLE_TIMEOUT_MULTIPLE = 6;
 
   /**
-   * Time without news of further hosts, in milliseconds, after which a host that has heard every
-   * host that it was told of may claim sooner: a host that is up connects again within 200 ms, and
-   * what it knows is passed on at once.
+   * Time without discovery of further hosts, in milliseconds, after which a host that has contacted
+   * all known hosts may claim before the settle time ends. A running host reconnects within 200 ms,
+   * and its list of hosts is forwarded immediately.
    */
   private static final long DISCOVERY_IDLE_MILLIS = 250;
 
-  /** A host that hears nobody at all waits longer, for its connections to come up. */
+  /**
+   * Time from the start before a host without any contact may claim, as a multiple of the silence
+   * timeout; its connections may not be established yet.
+   */
   private static final long NO_CONTACT_TIMEOUT_MULTIPLE = 6;
 
   private final String self;
@@ -93,7 +106,7 @@
   private long startedAt;
   private OptionalLong firstContactAt = OptionalLong.empty();
 
-  /** The hosts that were heard since the start. */
+  /** Hosts contacted since the start or the last reset. */
   private final Set<String> contactedHosts = new HashSet<>();
 
   private long lastDiscoveryAt;
@@ -110,11 +123,11 @@
   private RouteView routes;
 
   /**
-   * Creates the membership of a host that has heard of nobody yet.
+   * Creates the membership of a host in a fixed list of hosts.
    *
-   * @param self the id of this host
-   * @param domainByHost the failure domain of every host, this one included
-   * @param now the time of the start, in milliseconds
+   * @param self id of this host
+   * @param domainByHost failure domains of all hosts, including this one
+   * @param now time of the start, in milliseconds
    */
   public Membership(String self, Map<String, String> domainByHost, long now) {
     this(self, domainByHost, "", listedHostOptions(self, domainByHost), true, now);
@@ -124,7 +137,7 @@
       String self,
       Map<String, String> domainByHost,
       String failureDomain,
-      MembershipOptions terms,
+      MembershipOptions options,
       boolean fixedHosts,
       long now) {
     if (!domainByHost.containsKey(self)) {
@@ -134,7 +147,7 @@
     this.domainByHost = new HashMap<>(domainByHost);
     this.domain = domainByHost.get(self);
     this.failureDomain = failureDomain;
-    this.options = terms;
+    this.options = options;
     this.hasFixedHosts = fixedHosts;
     this.startedAt = now;
     this.lastDiscoveryAt = now;
@@ -142,25 +155,27 @@
   }
 
   /**
-   * Creates the membership of a host that knows only itself; {@link #addHost} adds the others.
+   * Creates the membership of a host that initially knows only itself; {@link #addHost} adds the
+   * others.
    *
-   * @param self the id of this host
-   * @param domain the hosts with the same value elect one dispatcher among them
-   * @param now the time of the start, in milliseconds
+   * @param self id of this host
+   * @param domain group of this host; the hosts of a group elect dispatchers among themselves
+   * @param now time of the start, in milliseconds
    */
   public static Membership withDiscovery(
-      String self, String domain, MembershipOptions terms, long now) {
-    return withDiscovery(new HostDescriptor(self, domain, "", ""), terms, now);
+      String self, String domain, MembershipOptions options, long now) {
+    return withDiscovery(new HostDescriptor(self, domain, "", ""), options, now);
   }
 
   /**
-   * Creates the membership of a host that knows only itself; {@link #addHost} adds the others.
+   * Creates the membership of a host that initially knows only itself; {@link #addHost} adds the
+   * others.
    *
-   * @param now the time of the start, in milliseconds
+   * @param now time of the start, in milliseconds
    */
-  public static Membership withDiscovery(HostDescriptor self, MembershipOptions terms, long now) {
+  public static Membership withDiscovery(HostDescriptor self, MembershipOptions options, long now) {
     return new Membership(
-        self.id(), Map.of(self.id(), self.group()), self.domain(), terms, false, now);
+        self.id(), Map.of(self.id(), self.group()), self.domain(), options, false, now);
   }
 
   private static MembershipOptions listedHostOptions(
@@ -169,33 +184,33 @@
     return MembershipOptions.ofListedHost(index);
   }
 
-  /** Takes an epoch into account that an earlier life of this host has seen. */
+  /** Restores the highest epoch that an earlier incarnation of this host has seen. */
   public void restore(long epoch) {
     observeEpoch(epoch);
   }
 
-  /** Takes a layout into account that an earlier life of this host has known. */
-  public void restore(ShardLayout known) {
-    layout = layout.larger(known);
+  /** Restores the layout that an earlier incarnation of this host has known. */
+  public void restore(ShardLayout restored) {
+    layout = layout.larger(restored);
   }
 
-  /** Divides the fleet at least as far as suits the upstreams that this host knows of. */
-  public List<MembershipEffect> growLayout(ShardLayout suited, long now) {
-    List<MembershipEffect> effects = mergeLayout(suited);
+  /** Grows the layout to at least the given one, which suits the upstreams known to this host. */
+  public List<MembershipEffect> growLayout(ShardLayout required, long now) {
+    List<MembershipEffect> effects = mergeLayout(required);
     if (!effects.isEmpty()) {
       effects.addAll(elect(now));
     }
     return effects;
   }
 
-  /** Takes a host into account from now on. */
+  /** Adds a host to the known hosts. */
   public void addHost(String host, String hostDomain, long now) {
     if (domainByHost.put(host, hostDomain) == null) {
       lastDiscoveryAt = now;
     }
   }
 
-  /** Takes a heartbeat of another host. */
+  /** Handles a heartbeat of another host. */
   public List<MembershipEffect> heartbeat(HostStatus status, long now) {
     List<MembershipEffect> effects = new ArrayList<>();
     if (!status.domain().equals(domainByHost.get(status.host())) || status.host().equals(self)) {
@@ -203,7 +218,7 @@
     }
     Contact before = lastContacts.get(status.host());
     if (before != null && before.status.incarnation() > status.incarnation()) {
-      // A heartbeat that an earlier run of the process left in flight.
+      // Heartbeat of an earlier incarnation that was still in flight.
       return effects;
     }
     lastContacts.put(status.host(), new Contact(status, now));
@@ -211,7 +226,8 @@
       lastDiscoveryAt = now;
     }
     if (before != null && before.status.equalsIgnoringLoad(status) && isStable()) {
-      // Most heartbeats tell nothing new; deciding anew took a third of an idle host's time.
+      // Most heartbeats report no change; re-evaluating each took a third of an idle host's CPU
+      // time.
       return effects;
     }
     if (firstContactAt.isEmpty()) {
@@ -221,8 +237,8 @@
       effects.add(new MembershipEffect.HostFound(status.host()));
     }
     if (status.domain().equals(domain) || !hasFixedHosts) {
-      // Hosts that find each other have one dispatcher, and also those that never dispatch tell
-      // of its epoch: they have disks, and remember it when all others were killed.
+      // Hosts that discover each other share one sequence of epochs. Hosts that never dispatch
+      // report it as well: they have disks and retain it when all other hosts are killed.
       observeEpoch(Math.max(status.highestEpoch(), status.dispatcherEpoch()));
     }
     if (!hasFixedHosts) {
@@ -232,13 +248,13 @@
     return effects;
   }
 
-  /** Drops hosts that went silent, and claims a dispatcher role that nobody holds. */
+  /** Removes hosts that have become silent, and claims a vacant dispatcher role. */
   public List<MembershipEffect> tick(long now) {
     List<MembershipEffect> effects = new ArrayList<>();
     List<String> lost = new ArrayList<>();
     lastContacts.forEach(
-        (host, last) -> {
-          if (now - last.receivedAt > options.silenceTimeoutMillis()) {
+        (host, contact) -> {
+          if (now - contact.receivedAt > options.silenceTimeoutMillis()) {
             lost.add(host);
           }
         });
@@ -252,7 +268,7 @@
     return effects;
   }
 
-  /** Returns whether nothing changes in this host's view as long as nobody else changes. */
+  /** Returns whether this host's view can change only through another host's change. */
   private boolean isStable() {
     boolean nothingToClaim =
         claimedEpoch != 0
@@ -261,13 +277,13 @@
     return settled && !draining && !vacancies.hasPending() && nothingToClaim;
   }
 
-  /** Notes that this host is stopping: it hands the role over as soon as there is a successor. */
+  /** Marks this host as stopping; it hands over its role as soon as there is a successor. */
   public List<MembershipEffect> drain(long now) {
     draining = true;
     return elect(now);
   }
 
-  /** Gives the role up because a runner or the ledger has seen a higher epoch. */
+  /** Records a higher epoch seen by an upstream or the ledger, and gives up a lower claim. */
   public List<MembershipEffect> handleHigherEpoch(long epoch, long now) {
     observeEpoch(epoch);
     List<MembershipEffect> effects = new ArrayList<>();
@@ -280,20 +296,23 @@
   }
 
   /**
-   * Gives a claim up because it is below one that nobody tells of, and claims again well above it.
+   * Gives up a claim that is below an epoch unknown to the hosts, and claims a considerably higher
+   * one.
    *
-   * <p>In a divided fleet an upstream that comes from another shard may have seen a higher epoch
-   * than this shard's. Its dispatcher then keeps the shard, which another host would have to
-   * rebuild.
+   * <p>In a divided fleet, an upstream that comes from another shard may have seen a higher epoch
+   * than that of this shard. The dispatcher then keeps the shard with a new epoch, because another
+   * host would have to rebuild its state.
    *
-   * @param epoch the claim that proved too low; another one is left as it is
-   * @param obeyedBefore whether the claim was obeyed at first, so that a rival has outbid it since
+   * @param epoch epoch of the claim that was refused; ignored if it isn't the current claim
+   * @param acceptedBefore whether upstreams accepted the claim at first, so that another claim has
+   *     superseded it since
    */
-  public List<MembershipEffect> handleSupersededClaim(long epoch, boolean obeyedBefore, long now) {
+  public List<MembershipEffect> handleSupersededClaim(
+      long epoch, boolean acceptedBefore, long now) {
     if (epoch != claimedEpoch) {
       return List.of();
     }
-    long rounds = obeyedBefore ? SUPERSEDE_ROUNDS : supersedeRounds;
+    long rounds = acceptedBefore ? SUPERSEDE_ROUNDS : supersedeRounds;
     supersedeRounds = Math.min(rounds * SUPERSEDE_GROWTH_FACTOR, MAX_SUPERSEDE_ROUNDS);
     long higher = epoch + (rounds << options.hostNumberBits());
     if (layout.undivided() || draining) {
@@ -308,9 +327,9 @@
   }
 
   /**
-   * Starts over after the process stood still: what it believes of the others is out of date.
+   * Resets the settle time after a process pause, as the state of other hosts is out of date.
    *
-   * <p>A claim is given up, and none is made until others would have been heard of again.
+   * <p>Gives up a claim; another one is made only after the settle time.
    */
   public List<MembershipEffect> reset(long now) {
     startedAt = now;
@@ -325,42 +344,42 @@
     return effects;
   }
 
-  /** Returns the last status of every live host but this one. */
+  /** Returns the last status of every live host except this one. */
   public Collection<HostStatus> liveHosts() {
-    return lastContacts.values().stream().map(last -> last.status).toList();
+    return lastContacts.values().stream().map(contact -> contact.status).toList();
   }
 
   /** Returns the last status of a live host. */
   public Optional<HostStatus> status(String host) {
-    return Optional.ofNullable(lastContacts.get(host)).map(last -> last.status);
+    return Optional.ofNullable(lastContacts.get(host)).map(contact -> contact.status);
   }
 
-  /** Returns the load that a live host told last. */
+  /** Returns the last load reported by a live host. */
   public Optional<DomainLoad> load(String host) {
     return status(host).map(HostStatus::load);
   }
 
-  /** Returns into how many shards the fleet is divided. */
+  /** Returns the layout of the fleet's shards. */
   public ShardLayout layout() {
     return layout;
   }
 
-  /** Returns the shard that this host dispatches, if it has a claim. */
+  /** Returns the shard claimed by this host, if any. */
   public Optional<ShardId> claimedShard() {
     return claimedEpoch == 0 ? Optional.empty() : Optional.of(claimedShard);
   }
 
-  /** Returns who dispatches where. */
+  /** Returns the current dispatchers and live shards. */
   public RouteView routes() {
     return routes;
   }
 
-  /** Returns the epoch of this host's claim, or 0. */
+  /** Returns the epoch of this host's claim, or 0 without a claim. */
   public long claimedEpoch() {
     return claimedEpoch;
   }
 
-  /** Returns the highest epoch of the domain that this host has seen. */
+  /** Returns the highest epoch of the group that this host has seen. */
   public long highestEpoch() {
     return highestEpoch;
   }
@@ -374,9 +393,9 @@
     highestEpoch = Math.max(highestEpoch, epoch);
   }
 
-  private List<MembershipEffect> mergeLayout(ShardLayout heardOf) {
+  private List<MembershipEffect> mergeLayout(ShardLayout reported) {
     List<MembershipEffect> effects = new ArrayList<>();
-    ShardLayout larger = layout.larger(heardOf);
+    ShardLayout larger = layout.larger(reported);
     if (!larger.equals(layout)) {
       effects.add(new MembershipEffect.LayoutChanged(layout, larger));
       layout = larger;
@@ -421,11 +440,11 @@
   }
 
   /**
-   * Returns whether this host is stopping and there is a successor.
+   * Returns whether this host is stopping and a successor is available.
    *
-   * <p>Without one a stopping host finishes what it dispatches: nobody else knows which tasks run
-   * here. In a divided fleet the dispatchers of other shards take the upstreams of one that has no
-   * successor.
+   * <p>Without a successor, a stopping host completes its own jobs, because no other host knows
+   * which tasks it runs. In a divided fleet, the dispatchers of other shards take over the
+   * upstreams of a shard without a successor.
    */
   private boolean shouldHandOver() {
     if (!draining) {
@@ -439,17 +458,20 @@
 
   private Stream<HostStatus> groupHosts() {
     return lastContacts.values().stream()
-        .map(last -> last.status)
+        .map(contact -> contact.status)
         .filter(status -> status.domain().equals(domain));
   }
 
-  /** Returns whether a host has a role of the present layout; one of a smaller layout is over. */
+  /**
+   * Returns whether a host dispatches a shard of the current layout; claims under a smaller layout
+   * have ended.
+   */
   private boolean hasClaim(HostStatus status) {
     return status.dispatcherEpoch() != 0 && layout.contains(status.shard());
   }
 
-  private boolean isAvailable(HostStatus status, String hostsDomain) {
-    return status.failureDomain().equals(hostsDomain) && !status.draining() && !hasClaim(status);
+  private boolean isAvailable(HostStatus status, String hostDomain) {
+    return status.failureDomain().equals(hostDomain) && !status.draining() && !hasClaim(status);
   }
 
   private Optional<ShardId> shardToClaim() {
@@ -468,16 +490,16 @@
         .findFirst();
   }
 
-  /** Returns who is first in line for the vacant shards of a failure domain. */
-  private Map<ShardId, String> matchVacantShards(String hostsDomain) {
-    Set<ShardId> vacant = new HashSet<>(layout.shards(hostsDomain));
+  /** Returns the hosts that are to claim the vacant shards of a failure domain. */
+  private Map<ShardId, String> matchVacantShards(String hostDomain) {
+    Set<ShardId> vacant = new HashSet<>(layout.shards(hostDomain));
     vacant.removeAll(dispatchersByShard().keySet());
     Set<String> free =
         groupHosts()
-            .filter(status -> isAvailable(status, hostsDomain))
+            .filter(status -> isAvailable(status, hostDomain))
             .map(HostStatus::host)
             .collect(Collectors.toCollection(HashSet::new));
-    if (mayClaim() && failureDomain.equals(hostsDomain)) {
+    if (mayClaim() && failureDomain.equals(hostDomain)) {
       free.add(self);
     }
     return ShardAssignment.of(vacant, free);
@@ -507,11 +529,14 @@
     return a.epoch() > b.epoch() ? a : b;
   }
 
-  /** Returns whether a dispatcher of this domain would have been heard of by now. */
+  /** Returns whether a dispatcher of this host's group would have been contacted by now. */
   private boolean hasSettleTimeElapsed(long now) {
     long domainHosts = domainByHost.values().stream().filter(domain::equals).count();
     long live =
-        lastContacts.values().stream().filter(h -> h.status.domain().equals(domain)).count() + 1;
+        lastContacts.values().stream()
+                .filter(contact -> contact.status.domain().equals(domain))
+                .count()
+            + 1;
     if (hasFixedHosts) {
       return now - startedAt > options.silenceTimeoutMillis() || live == domainHosts;
     }
@@ -519,15 +544,15 @@
       return now - startedAt > NO_CONTACT_TIMEOUT_MULTIPLE * options.silenceTimeoutMillis();
     }
     boolean complete = hasContactedAllHosts() && now - lastDiscoveryAt > DISCOVERY_IDLE_MILLIS;
-    long losses = layout.undivided() ? SETTLE_TIMEOUT_MULTIPLE : DIVIDED_SETTLE_TIMEOUT_MULTIPLE;
-    return complete || now - firstContactAt.getAsLong() > losses * options.silenceTimeoutMillis();
+    long multiple = layout.undivided() ? SETTLE_TIMEOUT_MULTIPLE : DIVIDED_SETTLE_TIMEOUT_MULTIPLE;
+    return complete || now - firstContactAt.getAsLong() > multiple * options.silenceTimeoutMillis();
   }
 
   private boolean hasContactedAllHosts() {
     return contactedHosts.size() == domainByHost.size() - 1;
   }
 
-  /** Returns an epoch above all that were seen; the host's number makes it unlike any other's. */
+  /** Returns an epoch above all epochs seen; the host number makes it unique. */
   private long nextEpoch(long now) {
     long round = Math.max(highestEpoch >> options.hostNumberBits(), options.roundAt(now)) + 1;
     return (round << options.hostNumberBits()) | options.hostNumber();
@@ -535,10 +560,12 @@
 
   private RouteView buildRoutes(long now) {
     Map<String, RouteView.ActiveDispatcher> dispatchers = new HashMap<>();
-    for (Contact last : lastContacts.values()) {
-      if (hasClaim(last.status)) {
+    for (Contact contact : lastContacts.values()) {
+      if (hasClaim(contact.status)) {
         dispatchers.merge(
-            last.status.domain(), toActiveDispatcher(last.status), Membership::withHigherEpoch);
+            contact.status.domain(),
+            toActiveDispatcher(contact.status),
+            Membership::withHigherEpoch);
       }
     }
     if (claimedEpoch != 0) {
@@ -546,13 +573,13 @@
     }
     Set<String> openDomains = new HashSet<>();
     lastContacts.values().stream()
-        .filter(last -> !last.status.draining())
-        .forEach(last -> openDomains.add(last.status.domain()));
+        .filter(contact -> !contact.status.draining())
+        .forEach(contact -> openDomains.add(contact.status.domain()));
     if (!draining) {
       openDomains.add(domain);
     }
-    boolean allHeard = openDomains.containsAll(domainByHost.values());
-    settled |= allHeard || now - startedAt > options.silenceTimeoutMillis();
+    boolean allDomainsContacted = openDomains.containsAll(domainByHost.values());
+    settled |= allDomainsContacted || now - startedAt > options.silenceTimeoutMillis();
     Map<ShardId, RouteView.ActiveDispatcher> shards = dispatchersByShard();
     return new RouteView(
         domain, dispatchers, openDomains, settled, shards, liveShards(shards.keySet(), now));
--- a/burdockbay-core/src/main/java/org/burdockbay/core/membership/MembershipEffect.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/membership/MembershipEffect.java
@@ -3,24 +3,24 @@
 import org.burdockbay.core.shard.ShardId;
 import org.burdockbay.core.shard.ShardLayout;
 
-/** What {@link Membership} wants done. */
+/** Effect requested by {@link Membership}. */
 public sealed interface MembershipEffect {
 
-  /** This host takes the role of dispatcher of a shard. */
+  /** This host becomes the dispatcher of a shard. */
   record Claim(long epoch, ShardId shard) implements MembershipEffect {}
 
-  /** This host gives the role up. */
+  /** This host gives up its dispatcher role. */
   record Yield() implements MembershipEffect {}
 
-  /** Who dispatches where has changed. */
+  /** The dispatchers or the live shards have changed. */
   record RoutesChanged(RouteView view) implements MembershipEffect {}
 
-  /** The fleet is divided into more shards than before. */
+  /** The fleet is divided into more shards. */
   record LayoutChanged(ShardLayout previous, ShardLayout current) implements MembershipEffect {}
 
-  /** A host is no longer heard of. */
+  /** No heartbeat of a host has arrived within the silence timeout. */
   record HostLost(String host) implements MembershipEffect {}
 
-  /** A host is heard of for the first time, or again. */
+  /** The first heartbeat of a host has arrived, or the first one after it was lost. */
   record HostFound(String host) implements MembershipEffect {}
 }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/membership/MembershipOptions.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/membership/MembershipOptions.java
@@ -1,18 +1,18 @@
 package org.burdockbay.core.membership;
 
 /**
- * How a host takes part in {@link Membership}.
+ * Options of a host's {@link Membership}.
  *
- * <p>An epoch is a round in the high bits and the claiming host's number in the low ones, so that
- * no two hosts ever claim the same one. The round follows the time, so that a host that starts
- * without any memory claims above what upstreams have seen before.
+ * <p>An epoch consists of a round in the high bits and the number of the claiming host in the low
+ * bits, so that two hosts never claim the same epoch. The round advances with time, so that a host
+ * that starts without stored state claims an epoch above those that upstreams have seen.
  *
- * @param silenceTimeoutMillis silence after which a host counts as lost, in milliseconds
+ * @param silenceTimeoutMillis silence after which a host is considered lost, in milliseconds
  * @param mayDispatch whether this host may claim the dispatcher role
- * @param hostNumberBits number of bits of a host number
- * @param hostNumber the number of this host, unlike any other's
- * @param roundMillis time for the round to rise by one, in milliseconds
- * @param firstRoundAt the time of round 0, in milliseconds since 1970
+ * @param hostNumberBits width of a host number, in bits
+ * @param hostNumber number of this host, unique among all hosts
+ * @param roundMillis duration of a round, in milliseconds
+ * @param firstRoundAt start of round 0, in milliseconds since the Unix epoch
  */
 public record MembershipOptions(
     long silenceTimeoutMillis,
@@ -25,26 +25,29 @@
   private static final int ADDRESS_BITS = 24;
   private static final long MILLIS_PER_SECOND = 1_000;
 
-  /** 2025-01-01; epochs in JSON have 53 bits, 29 of them for seconds since then. */
+  /**
+   * 2025-01-01T00:00Z. Epochs are limited to the 53 bits of a JSON number, which leaves 29 bits for
+   * the seconds since this time.
+   */
   private static final long FIRST_ROUND_AT = 1_735_689_600_000L;
 
-  /** Checks the host number. */
+  /** Checks that the host number fits its width. */
   public MembershipOptions {
     if (hostNumber < 0 || hostNumber >> hostNumberBits != 0) {
       throw new IllegalArgumentException(
-          hostNumber + " doesn't fit into " + hostNumberBits + " bits");
+          "host number " + hostNumber + " doesn't fit into " + hostNumberBits + " bits");
     }
   }
 
-  /** Returns the terms of a host in a list that all hosts have in their settings. */
+  /** Returns the options of a host that is part of a fixed list in the settings of all hosts. */
   static MembershipOptions ofListedHost(int index) {
     return new MembershipOptions(Membership.SILENCE_TIMEOUT_MILLIS, true, 8, index, 1, 0);
   }
 
   /**
-   * Returns the terms of a host that is told apart by the last three bytes of its IPv4 address.
+   * Returns the options of a host that is identified by the last three bytes of its IPv4 address.
    *
-   * @param ipv4 the address in dotted form
+   * @param ipv4 address in dotted decimal notation
    */
   public static MembershipOptions ofAddress(String ipv4, long lostMillis, boolean mayDispatch) {
     long number = 0;
@@ -55,7 +58,7 @@
         lostMillis, mayDispatch, ADDRESS_BITS, number, MILLIS_PER_SECOND, FIRST_ROUND_AT);
   }
 
-  /** Returns the round of a time, in milliseconds since 1970. */
+  /** Returns the round at a time in milliseconds since the Unix epoch. */
   long roundAt(long now) {
     return Math.max(0, (now - firstRoundAt) / roundMillis);
   }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/membership/RouteView.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/membership/RouteView.java
@@ -8,17 +8,17 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Who dispatches in each failure domain that can be reached, and which shard.
+ * View of one host on the dispatchers of all reachable failure domains and shards.
  *
- * @param domain the failure domain of this host
- * @param dispatchers the dispatcher by domain
- * @param openDomains domains with a live host that isn't stopping; such a domain has a dispatcher,
- *     or will have one within moments
- * @param settled whether every domain was heard of, or would have been by now; a host that has just
- *     started knows too few domains to tell the home of a key
- * @param shards the dispatcher by shard, of the shards that have one
- * @param liveShards the shards that own upstreams: those with a dispatcher, and those that will
- *     have one within moments
+ * @param domain failure domain of this host
+ * @param dispatchers dispatchers by failure domain
+ * @param openDomains domains with a live host that isn't stopping; each has a dispatcher or is
+ *     about to elect one
+ * @param settled whether every domain has been contacted or the silence timeout has passed since
+ *     the start; before that, a host may know too few domains to determine the home domain of a key
+ * @param shards dispatchers by shard, without the vacant shards
+ * @param liveShards shards that own upstreams: those with a dispatcher, and those that are about to
+ *     have one
  */
 public record RouteView(
     String domain,
@@ -28,7 +28,7 @@
     Map<ShardId, ActiveDispatcher> shards,
     Set<ShardId> liveShards) {
 
-  /** Copies the collections. */
+  /** Copies the collections to make the view immutable. */
   public RouteView {
     dispatchers = Map.copyOf(dispatchers);
     openDomains = Set.copyOf(openDomains);
@@ -36,7 +36,7 @@
     liveShards = Set.copyOf(liveShards);
   }
 
-  /** Creates the view of a fleet that isn't divided. */
+  /** Creates the view of a fleet that isn't divided into shards. */
   public RouteView(
       String domain,
       Map<String, ActiveDispatcher> dispatchers,
@@ -51,7 +51,7 @@
         Set.of(ShardId.WHOLE_FLEET));
   }
 
-  /** Returns the domains whose dispatcher takes new submissions. */
+  /** Returns the domains whose dispatcher accepts new submissions. */
   public Set<String> acceptingDomains() {
     return dispatchers.entrySet().stream()
         .filter(entry -> !entry.getValue().draining())
@@ -59,7 +59,7 @@
         .collect(Collectors.toUnmodifiableSet());
   }
 
-  /** Returns the view of a host that has heard of nobody. */
+  /** Returns the view of a host that hasn't contacted any other host. */
   public static RouteView empty(String domain) {
     return new RouteView(domain, Map.of(), Set.of(), false);
   }
@@ -70,14 +70,14 @@
   }
 
   /** Returns the dispatcher of a domain, if one is known. */
-  public Optional<ActiveDispatcher> dispatcher(String name) {
-    return Optional.ofNullable(dispatchers.get(name));
+  public Optional<ActiveDispatcher> dispatcher(String domainName) {
+    return Optional.ofNullable(dispatchers.get(domainName));
   }
 
   /**
-   * A host with the epoch under which it dispatches.
+   * Dispatcher with the epoch of its claim.
    *
-   * @param draining whether it only finishes what it has
+   * @param draining whether the host is stopping and accepts no new submissions
    */
   public record ActiveDispatcher(String host, long epoch, boolean draining) {}
 }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/membership/ShardVacancies.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/membership/ShardVacancies.java
@@ -7,7 +7,7 @@
 import java.util.function.Predicate;
 import org.burdockbay.core.shard.ShardId;
 
-/** Since when shards have had no dispatcher. */
+/** Tracks since when shards have been without a dispatcher. */
 final class ShardVacancies {
 
   private final long graceMillis;
@@ -17,35 +17,37 @@
   private boolean hasPending;
 
   /**
-   * Creates the account of a fleet without vacancies.
+   * Creates the tracker of a fleet without vacant shards.
    *
-   * @param graceMillis for how long a vacant shard keeps its upstreams, in milliseconds
-   * @param lostDomainMillis the same where no host of its failure domain is heard; its upstreams
-   *     are then most likely out of reach as well, or obey a dispatcher behind a partition
+   * @param graceMillis time for which a vacant shard keeps its upstreams, in milliseconds
+   * @param lostDomainGraceMillis the same for shards of a failure domain without a live host, in
+   *     milliseconds; their upstreams are then probably unreachable as well, or accept a dispatcher
+   *     on the other side of a network partition
    */
-  ShardVacancies(long graceMillis, long lostDomainMillis) {
+  ShardVacancies(long graceMillis, long lostDomainGraceMillis) {
     this.graceMillis = graceMillis;
-    this.lostDomainGraceMillis = lostDomainMillis;
+    this.lostDomainGraceMillis = lostDomainGraceMillis;
   }
 
   /**
-   * Returns the shards that own upstreams.
+   * Returns the shards that own upstreams, which are the claimed ones and those vacant for at most
+   * the grace period.
    *
-   * @param claimed the shards with a dispatcher
-   * @param awaited the shards for which a host is first in line
-   * @param heard tells the failure domains with a live host
+   * @param claimed shards with a dispatcher
+   * @param awaited vacant shards that a host is about to claim
+   * @param hasLiveHost tests whether a failure domain has a live host
    */
   Set<ShardId> liveShards(
-      Set<ShardId> claimed, Set<ShardId> awaited, Predicate<String> heard, long now) {
+      Set<ShardId> claimed, Set<ShardId> awaited, Predicate<String> hasLiveHost, long now) {
     previouslyClaimed.forEach(shard -> vacantSince.putIfAbsent(shard, now));
     awaited.forEach(shard -> vacantSince.putIfAbsent(shard, now));
     vacantSince.keySet().removeAll(claimed);
     previouslyClaimed = Set.copyOf(claimed);
     Set<ShardId> live = new HashSet<>(claimed);
     vacantSince.forEach(
-        (shard, at) -> {
-          long grace = heard.test(shard.domain()) ? graceMillis : lostDomainGraceMillis;
-          if (now - at <= grace) {
+        (shard, vacantAt) -> {
+          long grace = hasLiveHost.test(shard.domain()) ? graceMillis : lostDomainGraceMillis;
+          if (now - vacantAt <= grace) {
             live.add(shard);
           }
         });
@@ -53,12 +55,12 @@
     return live;
   }
 
-  /** Returns whether a vacant shard is still to be dropped. */
+  /** Returns whether the grace period of a vacant shard is still running. */
   boolean hasPending() {
     return hasPending;
   }
 
-  /** Starts over, as the shards are others. */
+  /** Forgets all vacancies, because the layout has changed. */
   void clear() {
     vacantSince.clear();
     previouslyClaimed = Set.of();
--- a/burdockbay-core/src/main/java/org/burdockbay/core/membership/package-info.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/membership/package-info.java
@@ -1,2 +1,2 @@
-/** Which hosts are alive, and which host dispatches in each failure domain. */
+/** Liveness of hosts and election of dispatchers by failure domain and shard. */
 package org.burdockbay.core.membership;
--- a/burdockbay-core/src/main/java/org/burdockbay/core/message/PeerMessage.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/message/PeerMessage.java
@@ -17,36 +17,44 @@
 import org.burdockbay.core.work.WorkOutcome;
 import org.burdockbay.core.work.WorkRequest;
 
-/** A message from one host to another. */
+/** Message from one host to another. */
 public sealed interface PeerMessage {
 
   /**
-   * What the sender tells of itself.
+   * Reports the sender's status.
    *
-   * @param lastContactAgeMillis how long ago the sender heard the receiver, in milliseconds; empty
-   *     if it hasn't, or doesn't tell
+   * @param lastContactAgeMillis time since the sender last received a message from the receiver, in
+   *     milliseconds; empty if it hasn't received any or doesn't report it
    */
   record Heartbeat(HostStatus status, OptionalLong lastContactAgeMillis) implements PeerMessage {
 
-    /** Creates a heartbeat that doesn't tell when the receiver was heard. */
+    /** Creates a heartbeat without the time since the last contact. */
     public Heartbeat(HostStatus status) {
       this(status, OptionalLong.empty());
     }
   }
 
-  /** A message of an agreement group. */
+  /** Carries a message of an agreement group. */
   record Agreement(GroupId group, RaftMessage message) implements PeerMessage {}
 
-  /** Asks the leader to propose a command; {@code requestId} is the sender's. */
+  /**
+   * Asks the leader to propose a command.
+   *
+   * @param requestId id of the request, chosen by the sender
+   */
   record Propose(long requestId, ControlCommand command) implements PeerMessage {}
 
   /** Answers a {@link Propose}. */
   record Proposed(long requestId, ControlReply reply) implements PeerMessage {}
 
-  /** Asks for the configuration if the receiver has a newer version. */
+  /**
+   * Requests the configuration if the receiver has a newer version.
+   *
+   * @param knownVersion version that the sender has
+   */
   record FetchConfiguration(long knownVersion) implements PeerMessage {}
 
-  /** A version of the configuration that is in force at the sender. */
+  /** Carries the configuration in force at the sender. */
   record ConfigurationText(long version, String text) implements PeerMessage {}
 
   /** Requests a part of a catalog. */
@@ -58,66 +66,73 @@
   /** Forwards a job to a dispatcher. */
   record SubmitJob(JobRequest request, Arrival arrival) implements PeerMessage {}
 
-  /** Asks a dispatcher for the outcome of a submission. */
+  /** Requests the outcome of a submission from a dispatcher. */
   record FollowJob(SubmissionKey key) implements PeerMessage {}
 
   /** Asks a dispatcher to cancel a submission. */
   record CancelJob(SubmissionKey key) implements PeerMessage {}
 
   /**
-   * Tells a waiting host the outcome of a job.
+   * Reports the outcome of a job to a waiting host.
    *
-   * @param digest digest of the content that the outcome is for; empty where only the key was asked
+   * @param digest digest of the content that the outcome applies to; empty if only the key was
+   *     requested
    */
   record ReportJob(SubmissionKey key, String digest, JobOutcome outcome) implements PeerMessage {}
 
-  /** Tells a waiting host which failure domain has the submission. */
+  /** Redirects a waiting host to the failure domain that holds the submission. */
   record RedirectJob(SubmissionKey key, String domain) implements PeerMessage {}
 
-  /** Gives a job back to a waiting host. */
+  /** Returns a job to a waiting host. */
   record ReturnJob(SubmissionKey key) implements PeerMessage {}
 
   /**
-   * Submits work to the dispatcher; repeated until the outcome comes.
+   * Submits work to the dispatcher; resent until the outcome arrives.
    *
-   * @param token the token under which the sender takes the receiver for the dispatcher
-   * @param ticket the sender's number for the caller's request; the same in each repetition
-   * @param ageMillis how long ago the caller's request arrived
-   * @param quietPeriodMillis for how long no task may start, as an earlier dispatcher may still run
-   *     some
+   * @param token fencing token under which the sender considers the receiver the dispatcher
+   * @param ticket number of the caller's request at the sender; unchanged when the message is
+   *     resent
+   * @param ageMillis time since the caller's request arrived, in milliseconds
+   * @param quietPeriodMillis time for which no task may start, in milliseconds, because an earlier
+   *     dispatcher may still run some
    */
   record SubmitWork(
       long token, long ticket, WorkRequest request, long ageMillis, long quietPeriodMillis)
       implements PeerMessage {}
 
   /**
-   * Tells the dispatcher that the caller no longer waits.
+   * Notifies the dispatcher that the caller no longer waits.
    *
-   * @param token the token under which the sender takes the receiver for the dispatcher
+   * @param token fencing token under which the sender considers the receiver the dispatcher
    */
   record CancelWork(long token, String workId) implements PeerMessage {}
 
-  /** Tells an entry host the outcome of its work. */
+  /** Reports the outcome of work to its entry host. */
   record ReportWork(String workId, WorkOutcome outcome) implements PeerMessage {}
 
-  /** Passes on what upstreams have said of themselves. */
+  /**
+   * Forwards announcements of upstreams.
+   *
+   * @param announced announcements of running upstreams, with their ages
+   * @param departed announcements of departed upstreams
+   */
   record UpstreamNews(List<Announced> announced, List<UpstreamAnnouncement> departed)
       implements PeerMessage {
 
-    /** Copies the lists. */
+    /** Copies the lists to make the message immutable. */
     public UpstreamNews {
       announced = List.copyOf(announced);
       departed = List.copyOf(departed);
     }
 
-    /** An announcement with its age in milliseconds. */
+    /** Announcement with its age in milliseconds. */
     public record Announced(UpstreamAnnouncement notice, long ageMillis) {}
   }
 
-  /** The hosts that the sender knows of, itself first. */
+  /** Lists the hosts known to the sender, which itself comes first. */
   record KnownHosts(List<HostDescriptor> hosts) implements PeerMessage {
 
-    /** Copies the list. */
+    /** Copies the list to make the message immutable. */
     public KnownHosts {
       hosts = List.copyOf(hosts);
     }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/message/package-info.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/message/package-info.java
@@ -1,2 +1,2 @@
-/** The messages between hosts, without their encoding. */
+/** Messages between hosts, independent of their encoding. */
 package org.burdockbay.core.message;
--- a/burdockbay-core/src/main/java/org/burdockbay/core/package-info.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/package-info.java
@@ -1,8 +1,9 @@
 /**
- * The decisions of the dispatcher as pure state machines.
+ * Decision logic of the dispatcher, as deterministic state machines.
  *
- * <p>Each part takes an event and the current time in milliseconds and returns effects. No part
- * reads a clock, a socket, a file, a random source or a thread, so a seed or a recorded trace
- * replays a run exactly, and another program can embed a part behind its own transport and storage.
+ * <p>Each state machine takes an event and the current time in milliseconds and returns effects.
+ * None of them accesses a clock, socket, file, source of randomness or thread. A seed or a recorded
+ * trace therefore replays a run exactly, and another program can embed a state machine behind its
+ * own transport and storage.
  */
 package org.burdockbay.core;
