--- a/burdockbay-core/src/test/java/org/burdockbay/core/agreement/RaftFuzzTest.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/agreement/RaftFuzzTest.java
@@ -9,15 +9,15 @@
 import org.testng.annotations.AfterClass;
 import org.testng.annotations.Test;
 
-/** Drives groups of voters through faults against the oracle of {@link RaftModel}. */
+/** Fuzzes groups of voters with injected faults; {@link RaftModel} checks the invariants. */
 public class RaftFuzzTest {
 
   private static final int STEPS = 600;
 
   /**
-   * Users would see a booking that was accepted and is gone, or two hosts that both accept changes.
-   * Messages are lost, doubled and reordered, hosts crash with unsynced writes, freeze and are cut
-   * off, in any order. The cause would be a flaw in elections, commitment or persistence.
+   * A committed entry is lost, or two hosts accept changes at the same time, because of a fault in
+   * elections, commitment or persistence. Messages are lost, duplicated and reordered; hosts crash
+   * with unsynced writes, pause and are partitioned, in any order.
    */
   @Test
   public void keepsCommittedEntriesThroughCrashesPartitionsAndPauses() {
@@ -29,9 +29,9 @@
   }
 
   /**
-   * Users would see an accepted change vanish after a disk was replaced. A host loses its disk and
-   * comes back empty, and another one crashes right after the repair. The cause would be a wiped
-   * voter that votes again, or one that counts before it holds what is committed.
+   * A committed entry is lost after a disk was replaced, because the erased voter votes again, or
+   * because it counts towards a quorum before it has all committed entries. A host loses its disk
+   * and restarts with an empty one, and another host crashes right after the repair.
    */
   @Test
   public void keepsCommittedEntriesThroughLostDisks() {
@@ -42,25 +42,25 @@
         .checkAssert(steps -> run(steps, true));
   }
 
-  /** Prints the figures of the run. */
+  /** Prints the statistics of the run. */
   @AfterClass
   public void printStatistics() {
     System.out.println(FuzzOptions.summary("raft"));
   }
 
-  private static void run(List<Integer> steps, boolean wipes) {
+  private static void run(List<Integer> steps, boolean loseDisks) {
     int voters = steps.getFirst() % 2 == 0 ? 3 : 5;
     RaftModel model = new RaftModel(voters);
     for (int step : steps) {
-      step(model, step % 100, step / 100, wipes);
+      step(model, step % 100, step / 100, loseDisks);
     }
     FuzzOptions.recordExample("raft", steps.size(), model.committed.size());
     if (!model.recovers()) {
-      throw new AssertionError("no progress after all faults ended: " + model.describe());
+      throw new AssertionError("no new commit after all faults ended: " + model.describe());
     }
   }
 
-  private static void step(RaftModel model, int action, int number, boolean wipes) {
+  private static void step(RaftModel model, int action, int number, boolean loseDisks) {
     int member = number % model.members.size();
     RaftModel.Member target = model.members.get(member);
     if (action < 34) {
@@ -95,13 +95,16 @@
       model.transfer(member);
     } else if (action < 98) {
       model.reconcile(member);
-    } else if (wipes && canLoseDisk(model, target)) {
+    } else if (loseDisks && canLoseDisk(model, target)) {
       target.wipeDisk();
       model.runRepair();
     }
   }
 
-  /** A group survives lost disks as long as a quorum of its voters keeps theirs. */
+  /**
+   * Returns whether every known set of voters retains a quorum with intact disks if the target
+   * loses its disk.
+   */
   private static boolean canLoseDisk(RaftModel model, RaftModel.Member target) {
     for (RaftModel.Member member : model.members) {
       if (member.node == null) {
--- a/burdockbay-core/src/test/java/org/burdockbay/core/agreement/RaftModel.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/agreement/RaftModel.java
@@ -8,10 +8,10 @@
 import java.util.TreeMap;
 
 /**
- * A group of voters in one thread, with a bag of messages, simulated disks, and the oracle.
+ * Single-threaded simulation of a group of voters, with messages in flight and simulated disks.
  *
- * <p>The oracle fits in {@link #recordCommit} and {@link #recordLeader}: an index is committed with
- * one content only, and a term has one leader only.
+ * <p>It checks two invariants of Raft in {@link #recordCommit} and {@link #recordLeader}: all
+ * members commit the same entry at an index, and a term has at most one leader.
  */
 final class RaftModel {
 
@@ -35,7 +35,7 @@
     }
   }
 
-  /** Lets time pass for one member. */
+  /** Advances time for one member. */
   void tick(int member, int millis) {
     now += millis;
     Member target = members.get(member);
@@ -44,7 +44,11 @@
     }
   }
 
-  /** Delivers a message of the bag; the bag keeps it if it is to be duplicated. */
+  /**
+   * Delivers a message in flight.
+   *
+   * @param keep whether the message remains in flight, to be duplicated
+   */
   void deliver(int index, boolean keep) {
     if (messagesInFlight.isEmpty()) {
       return;
@@ -92,7 +96,7 @@
     }
   }
 
-  /** Brings the voters in line with the incarnations that run, as the leader's keeper does. */
+  /** Aligns the voters with the running incarnations, as the control code of the leader does. */
   void reconcile(int leader) {
     Member target = members.get(leader);
     if (!target.isRunning() || target.node.role() != RaftRole.LEADER) {
@@ -116,7 +120,7 @@
     }
   }
 
-  /** Returns the state of every member, for the message of a failure. */
+  /** Returns the state of every member, for failure messages. */
   String describe() {
     StringBuilder text = new StringBuilder("messages=" + messagesInFlight.size());
     for (Member member : members) {
@@ -129,7 +133,10 @@
     return text.toString();
   }
 
-  /** Everything that can run does: time passes, disks sync, the messages of the bag arrive. */
+  /**
+   * Runs a round without faults for the running members: advances time, completes syncs and
+   * delivers the messages in flight.
+   */
   void runFaultFreeRound(int millis) {
     for (int i = 0; i < members.size(); i++) {
       tick(i, millis);
@@ -140,7 +147,7 @@
     }
   }
 
-  /** Some calm after a lost disk, in which the leader takes the new voter in. */
+  /** Runs fault-free rounds after the loss of a disk, in which the leader adds the new voter. */
   void runRepair() {
     for (int round = 0; round < 60; round++) {
       runFaultFreeRound(5);
@@ -150,7 +157,7 @@
     }
   }
 
-  /** Ends all faults and lets everything arrive, until a leader commits something new. */
+  /** Ends all faults and returns whether a leader then commits new entries. */
   boolean recovers() {
     for (Member member : members) {
       member.partitioned = false;
@@ -177,23 +184,23 @@
     return members.stream().anyMatch(member -> member.id.equals(sender) && member.partitioned);
   }
 
-  private void recordCommit(VoterId by, LogEntry entry) {
+  private void recordCommit(VoterId member, LogEntry entry) {
     LogEntry before = committed.putIfAbsent(entry.index(), entry);
     if (before != null
         && (before.term() != entry.term() || !before.content().equals(entry.content()))) {
       throw new AssertionError(
-          by + " commits " + entry + " where " + before + " was committed before");
+          member + " committed " + entry + ", but " + before + " was committed at this index");
     }
   }
 
   private void recordLeader(VoterId member, long term) {
     VoterId before = leaders.putIfAbsent(term, member);
     if (before != null && !before.equals(member)) {
-      throw new AssertionError("term " + term + " is led by " + before + " and by " + member);
+      throw new AssertionError("term " + term + " has two leaders: " + before + " and " + member);
     }
   }
 
-  /** One host with its disk; a crash loses what isn't synced, or the end of it. */
+  /** Host with its disk; a crash loses all unsynced writes or the last ones. */
   final class Member {
 
     VoterId id;
@@ -221,7 +228,10 @@
       crash(0);
     }
 
-    /** Crashes after the first writes reached the disk; the node wasn't told of these. */
+    /**
+     * Crashes after the first unsynced writes have reached the disk, without completion reported to
+     * the node.
+     */
     void crash(int written) {
       unsynced.stream().limit(written).forEach(this::write);
       node = null;
@@ -242,7 +252,7 @@
       unsynced.clear();
     }
 
-    /** The disk is lost; the host comes back with an empty one, under a new incarnation. */
+    /** Loses the disk and restarts with an empty one under a new incarnation. */
     void wipeDisk() {
       crash();
       nextIncarnation++;
@@ -251,7 +261,7 @@
       restart();
     }
 
-    /** Completes the writes so far. */
+    /** Completes all outstanding writes. */
     void sync() {
       if (node == null || unsynced.isEmpty()) {
         return;
@@ -288,7 +298,7 @@
 
     private void apply(LogEntry entry) {
       if (entry.index() != appliedIndex + 1) {
-        throw new AssertionError(id + " applies " + entry.index() + " after " + appliedIndex);
+        throw new AssertionError(id + " applied entry " + entry.index() + " after " + appliedIndex);
       }
       appliedIndex = entry.index();
       appliedHash = appliedHash * 31 + entry.content().hashCode();
--- a/burdockbay-core/src/test/java/org/burdockbay/core/agreement/RaftNodeTest.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/agreement/RaftNodeTest.java
@@ -10,7 +10,7 @@
 import java.util.Optional;
 import org.testng.annotations.Test;
 
-/** Focused failures of one member; each is the guard of a row in docs/PROOFS.md. */
+/** Tests failures of a single member; each test covers a row in docs/PROOFS.md. */
 public class RaftNodeTest {
 
   private static final VoterId A = new VoterId("a", 1);
@@ -21,8 +21,8 @@
   private static final long AFTER_ELECTION_TIMEOUT = 10 * TIMING.electionTimeoutMillis();
 
   /**
-   * A leader is cut off in silence and keeps answering as leader, while the other side has elected
-   * another one. The cut-off one must notice by itself that it hears no quorum.
+   * A partitioned leader continues to answer as leader while the other side has elected another
+   * one. It must detect by itself that it has no contact to a quorum.
    */
   @Test
   public void stepsDownWithoutQuorumContact() {
@@ -33,8 +33,9 @@
   }
 
   /**
-   * A leader commits an entry of an earlier term as soon as a quorum holds it. A voter with a later
-   * term may still be elected and overwrite it: an accepted change is gone (Raft, figure 8).
+   * A leader commits an entry of an earlier term as soon as a quorum has it. A voter with an entry
+   * of a later term may still be elected and overwrite it, and an accepted change is lost (Raft
+   * paper, figure 8).
    */
   @Test
   public void commitsEntriesOfEarlierTermsOnlyWithEntryOfCurrentTerm() {
@@ -59,8 +60,8 @@
   }
 
   /**
-   * A leader counts its own entry before its disk has it. It and one follower crash: a change that
-   * was accepted stands on no disk of a quorum.
+   * A leader counts its own entry before it is synced. If the leader and a follower crash, an
+   * accepted change isn't on the disks of a quorum.
    */
   @Test
   public void countsItsOwnEntriesOnlyOnceSynced() {
@@ -76,8 +77,8 @@
   }
 
   /**
-   * A candidate with an old log wins because a voter didn't compare logs; committed entries that
-   * only the others hold are overwritten.
+   * A candidate with an outdated log is elected because a voter didn't compare the logs. Committed
+   * entries that the candidate lacks are overwritten.
    */
   @Test
   public void deniesVotesToCandidatesWithOlderLogs() {
@@ -86,14 +87,15 @@
     assertFalse(grantedVote(voter.receive(request, AFTER_ELECTION_TIMEOUT)).isPresent());
     RaftMessage.VoteRequest newer = new RaftMessage.VoteRequest(C, A, 9, 3, 1, false, true);
     List<RaftEffect> effects = voter.receive(newer, AFTER_ELECTION_TIMEOUT);
-    assertFalse(grantedVote(effects).isPresent(), "a vote leaves only after the sync");
+    assertFalse(grantedVote(effects).isPresent(), "vote granted before the sync");
     assertTrue(grantedVote(voter.persisted(ticketOf(effects), AFTER_ELECTION_TIMEOUT)).isPresent());
   }
 
   /**
-   * All hosts were killed and are up again; without a leader no host has a configuration, and every
-   * caller is refused. A member that hears of no leader campaigns soon, and later each time: with
-   * the short time alone, members that campaign side by side split the votes for ever.
+   * All hosts were killed and restarted. Without a leader no host has a configuration, and all
+   * callers are refused. A member that knows no leader must start its first election after a short
+   * timeout and lengthen the timeout with each attempt: with a constant short one, concurrent
+   * candidates split the votes indefinitely.
    */
   @Test
   public void lengthensElectionTimeoutsWhileNoLeaderIsKnown() {
@@ -117,8 +119,8 @@
   }
 
   /**
-   * A removed or cut-off host returns and campaigns with a high term; the healthy leader is
-   * unseated again and again, and callers wait for elections.
+   * A removed or partitioned host returns and requests votes in a high term. The working leader is
+   * deposed repeatedly, and callers wait for elections.
    */
   @Test
   public void deniesVotesWhileLeaderIsAlive() {
@@ -131,8 +133,8 @@
   }
 
   /**
-   * A host lost its disk and came back. A message meant for the earlier incarnation reaches the new
-   * one, which acknowledges or votes for what it doesn't hold.
+   * A host lost its disk and restarted. A message to the earlier incarnation reaches the new one,
+   * which votes or acknowledges entries without having the log.
    */
   @Test
   public void ignoresMessagesToAnEarlierIncarnation() {
@@ -146,8 +148,9 @@
   }
 
   /**
-   * A second host dies right after a repair. If the repaired one counted before it held what is
-   * committed, the rest would be a quorum without the last accepted changes.
+   * A second host fails right after a repair. If the repaired host became a voter before it had all
+   * committed entries, the remaining voters would form a quorum without the latest accepted
+   * changes.
    */
   @Test
   public void reportsLearnersCaughtUpOnlyWithAllCommittedEntries() {
@@ -168,26 +171,26 @@
   }
 
   /**
-   * Two membership changes overlap. Their quorums need not share a voter, so two leaders can commit
-   * different changes at once.
+   * Two membership changes overlap, or one change replaces two voters. The quorums before and after
+   * it need not share a voter, so two leaders could commit different entries.
    */
   @Test
   public void rejectsOverlappingAndMultiVoterChanges() {
     RaftNode leader = electedLeader();
     commitAll(leader);
     VoterSet two = leader.voters().without(B).without(C);
-    assertFalse(leader.proposeMembers(two, AFTER_ELECTION_TIMEOUT), "two voters at once");
+    assertFalse(leader.proposeMembers(two, AFTER_ELECTION_TIMEOUT), "change of two voters");
     assertTrue(leader.proposeMembers(leader.voters().without(C), AFTER_ELECTION_TIMEOUT));
     assertFalse(
         leader.proposeMembers(
             leader.voters().withVoter(new VoterId("d", 1)), AFTER_ELECTION_TIMEOUT),
-        "a second change before the first is committed");
+        "second change before the first is committed");
   }
 
   /**
-   * Found by fuzzing: a snapshot reaches a follower that holds its last entry and later ones. The
-   * whole log was replaced, entries that were synced and acknowledged were gone, and a leader
-   * without them could be elected.
+   * A snapshot reaches a follower that has the snapshot's last entry and later ones. Replacing the
+   * whole log would discard entries that were synced and acknowledged, and a leader without them
+   * could be elected. Found by fuzzing.
    */
   @Test
   public void keepsAcknowledgedEntriesBeyondSnapshots() {
@@ -199,8 +202,8 @@
   }
 
   /**
-   * Found by fuzzing: a part of a snapshot is lost on its way to a new host. It was never sent
-   * again, since each heartbeat counted as a fresh message, and the host never caught up.
+   * A snapshot chunk to a new host is lost. If heartbeats postponed resending it, the chunk would
+   * never be sent again and the host wouldn't catch up. Found by fuzzing.
    */
   @Test
   public void resendsLostSnapshotChunks() {
@@ -222,13 +225,13 @@
       leader.receive(new RaftMessage.AppendReply(B, A, leader.term(), true, 0), time);
       chunks += count(leader.tick(time), RaftMessage.SnapshotChunk.class, C);
     }
-    assertTrue(chunks >= 3, "parts sent again: " + chunks);
+    assertTrue(chunks >= 3, "chunks sent: " + chunks);
   }
 
   /**
-   * Entries are written, removed by another leader, and written again while the first write is
-   * still under way. Its completion proves nothing for the third: a crash between the removal and
-   * the third write loses entries that were acknowledged as synced.
+   * Entries are written, truncated by another leader, and written again while the first write is
+   * still in progress. The completion of the first write must not count for the last one: a crash
+   * between the truncation and the last write would lose entries that were acknowledged as synced.
    */
   @Test
   public void ignoresSyncsFromBeforeTruncations() {
@@ -251,7 +254,7 @@
     assertEquals(acknowledgedIndex(effects), 1);
   }
 
-  /** Guards against large commands exhausting memory and disk before the entry limit is reached. */
+  /** Large commands would exhaust memory and disk space before the limit on entries is reached. */
   @Test
   public void compactsAtByteLimit() {
     RaftNode leader = electedLeader();
--- a/burdockbay-core/src/test/java/org/burdockbay/core/membership/MembershipTest.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/membership/MembershipTest.java
@@ -11,7 +11,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Who is alive and who dispatches, as host a of domain north sees it. */
+/** Tests liveness and dispatcher election from the view of host a in domain north. */
 public class MembershipTest {
 
   private static final Map<String, String> DOMAINS =
@@ -20,7 +20,7 @@
   private List<MembershipEffect> effects;
   private long now;
 
-  /** Makes the membership of host a. */
+  /** Creates the membership of host a. */
   @BeforeMethod
   public void createMembership() {
     now = 1_000_000;
@@ -29,8 +29,8 @@
   }
 
   /**
-   * A host comes back and stands first in line. Taking the role from the one that has it would cost
-   * the domain a rebuild for nothing.
+   * A host that precedes the dispatcher in the election order returns. Taking over the role would
+   * cause an unnecessary rebuild in the domain.
    */
   @Test
   public void doesNotTakeTheRoleFromLiveDispatchers() {
@@ -40,17 +40,17 @@
   }
 
   /**
-   * All processes are killed. The upstreams still refuse tokens below the last one, and the new
-   * dispatcher knows no other from before: only a host with a disk, which never dispatches itself,
-   * remembers the epoch and tells it.
+   * All processes are killed. The upstreams still refuse tokens below the last epoch, which the new
+   * dispatcher doesn't know. Only a host with a disk, which never dispatches itself, has stored the
+   * epoch and reports it.
    */
   @Test
   public void claimsAboveEpochsReportedByNonDispatchingHosts() {
-    Membership keeper =
+    Membership controlHost =
         Membership.withDiscovery(
             "10.0.0.9", "control", MembershipOptions.ofAddress("10.0.0.9", 450, false), now);
-    keeper.restore(1L << 52);
-    assertEquals(keeper.highestEpoch(), 1L << 52);
+    controlHost.restore(1L << 52);
+    assertEquals(controlHost.highestEpoch(), 1L << 52);
     Membership starting =
         Membership.withDiscovery(
             "10.0.0.1", "entry", MembershipOptions.ofAddress("10.0.0.1", 450, true), now);
@@ -65,7 +65,7 @@
               1,
               1,
               0,
-              keeper.highestEpoch(),
+              controlHost.highestEpoch(),
               false,
               "",
               new DomainLoad(0, 0)),
@@ -75,7 +75,10 @@
     assertTrue(starting.claimedEpoch() > 1L << 52, "claimed " + starting.claimedEpoch());
   }
 
-  /** The dispatcher goes silent: the next in line claims with a higher epoch, and not before. */
+  /**
+   * The dispatcher becomes silent. The next host must claim the role with a higher epoch, and only
+   * after the silence timeout.
+   */
   @Test
   public void claimsWithHigherEpochsOnceTheDispatcherIsLost() {
     long seen = 1L << 50;
@@ -89,8 +92,9 @@
   }
 
   /**
-   * Two hosts of a domain were cut off from each other and both claimed. When they hear each other
-   * again, the lower epoch must give way, since the runners obey the higher one.
+   * Two hosts of a domain were separated by a network partition and both claimed the role. When
+   * they reconnect, the claim with the lower epoch must be given up, since the upstreams accept
+   * only the higher one.
    */
   @Test
   public void yieldsToHigherClaims() {
@@ -101,20 +105,23 @@
     assertTrue(effects.contains(new MembershipEffect.Yield()));
   }
 
-  /** A host that is stopping hands the role over as soon as there is a successor, not before. */
+  /**
+   * A stopping host must hand over its role as soon as there is a successor. Without one, its jobs
+   * would remain unfinished.
+   */
   @Test
   public void handsTheRoleOverOnlyToSuccessors() {
     advanceTime(3_000, () -> {});
     assertTrue(membership.claimedEpoch() != 0);
     effects.addAll(membership.drain(now));
-    assertTrue(membership.claimedEpoch() != 0, "nobody else could finish its jobs");
+    assertTrue(membership.claimedEpoch() != 0, "no successor could complete its jobs");
     heartbeat("b", 0, 1, false);
     assertEquals(membership.claimedEpoch(), 0);
   }
 
   /**
-   * A heartbeat that an earlier run of a process sent arrives after the restart. Believing it would
-   * send jobs to a dispatcher that is gone.
+   * A heartbeat of an earlier incarnation arrives after the restart. Accepting it would route jobs
+   * to a dispatcher that no longer exists.
    */
   @Test
   public void ignoresHeartbeatsOfEarlierIncarnations() {
@@ -123,7 +130,10 @@
     assertTrue(membership.routes().dispatcher("south").isEmpty());
   }
 
-  /** A host that has just started doesn't know yet which domains there are to choose from. */
+  /**
+   * A host that has just started doesn't know all domains yet and would choose a wrong home domain
+   * for a key.
+   */
   @Test
   public void settlesOnceEveryDomainIsContactedOrTimeoutExpires() {
     heartbeat("b", 7, 1, false);
@@ -135,7 +145,7 @@
     assertTrue(alone.routes().settled());
   }
 
-  /** A domain whose hosts all stop takes no new keys; one with a live host does. */
+  /** A domain whose hosts are all stopping would still receive new keys. */
   @Test
   public void opensOnlyDomainsWithNonDrainingHosts() {
     heartbeat("c", 8, 1, false);
@@ -160,18 +170,18 @@
     effects.addAll(membership.heartbeat(status, now));
   }
 
-  private void advanceTime(long millis, Runnable each) {
+  private void advanceTime(long millis, Runnable action) {
     for (long passed = 0; passed < millis; passed += 250) {
       now += 250;
-      each.run();
+      action.run();
       effects.addAll(membership.tick(now));
     }
   }
 
   /**
-   * Callers would see half a minute of refusals. A host restarts; its start alone takes longer than
-   * the silence that counts as a loss. Before its first connection is up it takes itself for the
-   * only host, claims the role with a newer epoch, and replaces a dispatcher that serves.
+   * A host restarts, and its start alone takes longer than the silence timeout. Before its first
+   * connection is established it considers itself the only host, claims the role with a higher
+   * epoch and replaces a working dispatcher. Callers are refused for half a minute.
    */
   @Test
   public void claimsNothingBeforeOtherHostsCanBeContacted() {
@@ -179,19 +189,20 @@
     Membership restarted = Membership.withDiscovery("10.0.0.1", "entry", terms, 0);
     restarted.addHost("10.0.0.2", "entry", 0);
     restarted.addHost("10.0.0.3", "entry", 0);
-    assertTrue(claims(restarted.tick(1_000)).isEmpty(), "hears nobody yet");
-    HostStatus quiet = idle("10.0.0.2");
-    assertTrue(claims(restarted.heartbeat(quiet, 1_100)).isEmpty());
-    restarted.heartbeat(quiet, 1_500);
-    assertTrue(claims(restarted.tick(1_900)).isEmpty(), "heard for less than 900 ms");
-    restarted.heartbeat(quiet, 1_950);
+    assertTrue(claims(restarted.tick(1_000)).isEmpty(), "no host contacted yet");
+    HostStatus peer = idle("10.0.0.2");
+    assertTrue(claims(restarted.heartbeat(peer, 1_100)).isEmpty());
+    restarted.heartbeat(peer, 1_500);
+    assertTrue(claims(restarted.tick(1_900)).isEmpty(), "less than 900 ms since the first contact");
+    restarted.heartbeat(peer, 1_950);
     assertEquals(claims(restarted.tick(2_001)).size(), 1);
   }
 
   /**
-   * All hosts were killed and are up again. Each hears all that it is told of within moments, so
-   * none needs to wait for one that might still serve; until one claims, callers wait or are
-   * refused. A host that it is told of late is waited for, as it may be the one that serves.
+   * All hosts were killed and restarted. Each contacts all known hosts almost immediately, so it
+   * needn't wait the full settle time for a working dispatcher; until a host claims the role,
+   * callers wait or are refused. A host discovered later must be waited for, as it may be the
+   * dispatcher.
    */
   @Test
   public void claimsEarlyOnceEveryKnownHostIsContacted() {
@@ -201,10 +212,10 @@
     assertTrue(claims(restarted.heartbeat(idle("10.0.0.2"), 100)).isEmpty());
     restarted.addHost("10.0.0.3", "entry", 200);
     restarted.heartbeat(idle("10.0.0.2"), 400);
-    assertTrue(claims(restarted.tick(460)).isEmpty(), "10.0.0.3 wasn't heard yet");
+    assertTrue(claims(restarted.tick(460)).isEmpty(), "10.0.0.3 not contacted yet");
     assertTrue(claims(restarted.heartbeat(idle("10.0.0.3"), 470)).isEmpty());
     restarted.heartbeat(idle("10.0.0.2"), 600);
-    assertTrue(claims(restarted.tick(720)).isEmpty(), "others may become known yet");
+    assertTrue(claims(restarted.tick(720)).isEmpty(), "further hosts may still be discovered");
     assertEquals(claims(restarted.tick(721)).size(), 1);
   }
 
--- a/burdockbay-core/src/test/java/org/burdockbay/core/membership/ShardRolesTest.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/membership/ShardRolesTest.java
@@ -20,7 +20,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Who dispatches which shard, in a group of hosts that tell each other by heartbeats. */
+/** Tests the election of shard dispatchers in a group of hosts that exchange heartbeats. */
 public class ShardRolesTest {
 
   private static final long STEP_MILLIS = 25;
@@ -53,7 +53,7 @@
     advanceTime(3_000);
   }
 
-  /** A small fleet has one dispatcher, whose pool serves bursts best. */
+  /** A small fleet must not be divided, because a single pool of upstreams handles bursts best. */
   @Test
   public void keepsOneDispatcherWhileTheFleetIsSmall() {
     assertEquals(dispatchers().keySet(), Set.of(ShardId.WHOLE_FLEET));
@@ -66,7 +66,7 @@
         Set.of(Set.of(ShardId.WHOLE_FLEET)));
   }
 
-  /** One host would carry two shards, or a shard would wait for a second round of claims. */
+  /** One host would dispatch two shards, or a shard would wait for a second round of claims. */
   @Test
   public void claimsEveryShardWithDifferentHostsInOneRound() {
     growLayout("10.0.5.1", TWO_SHARDS);
@@ -74,7 +74,7 @@
     assertAllShardsServed(TWO_SHARDS);
   }
 
-  /** Hosts that divide the fleet differently would call the same upstream under two tokens. */
+  /** Hosts with different layouts would call the same upstream under two tokens. */
   @Test
   public void convergesToTheSameLayoutOnAllHosts() {
     partitionedDomain = "west";
@@ -88,7 +88,7 @@
     assertAllShardsServed(new ShardLayout(3));
   }
 
-  /** A layout that grows mustn't cost the shards that there were their dispatchers. */
+  /** Existing shards would lose their dispatchers when the layout grows. */
   @Test
   public void keepsDispatchersOfExistingShardsWhenTheLayoutGrows() {
     growLayout("10.0.5.1", TWO_SHARDS);
@@ -100,7 +100,10 @@
     assertAllShardsServed(new ShardLayout(3));
   }
 
-  /** Two parts of a domain were cut off from each other, and both claimed its shards. */
+  /**
+   * Two parts of a domain were separated by a network partition, and both claimed its shards.
+   * Afterwards only the claim with the higher epoch may remain.
+   */
   @Test
   public void keepsTheHigherEpochOfTwoClaimsOfOneShard() {
     growLayout("10.0.5.1", TWO_SHARDS);
@@ -117,7 +120,10 @@
     assertAllShardsServed(TWO_SHARDS);
   }
 
-  /** The shard of a lost host keeps its upstreams until another host of the domain has it. */
+  /**
+   * The shard of a lost host would lose its upstreams before another host of the domain takes it
+   * over.
+   */
   @Test
   public void takesOverTheShardOfLostHosts() {
     growLayout("10.0.5.1", TWO_SHARDS);
@@ -136,7 +142,7 @@
     assertAllShardsServed(TWO_SHARDS);
   }
 
-  /** Upstreams of a shard that nobody can take would be served by nobody. */
+  /** Upstreams of a shard that no host can take over would remain without a dispatcher. */
   @Test
   public void dropsVacantShardsOfDomainsWithTooFewHosts() {
     growLayout("10.0.5.1", new ShardLayout(4));
@@ -153,18 +159,21 @@
     assertEquals(dispatchers().size(), 11);
   }
 
-  /** After a restart of everything one host would claim a fleet that is too large for it. */
+  /**
+   * After a restart of all hosts, a single host would claim a fleet that is too large for one
+   * dispatcher.
+   */
   @Test
   public void keepsTheLayoutWhenAllHostsRestart() {
     startAll(ShardLayout.UNDIVIDED);
-    Membership keeper =
+    Membership controlHost =
         Membership.withDiscovery(
             new HostDescriptor("10.0.99.1", "control", "north", ""),
             MembershipOptions.ofAddress("10.0.99.1", SILENCE_TIMEOUT_MILLIS, false),
             now);
-    keeper.restore(TWO_SHARDS);
+    controlHost.restore(TWO_SHARDS);
     domains.put("10.0.99.1", "north");
-    hosts.put("10.0.99.1", keeper);
+    hosts.put("10.0.99.1", controlHost);
     connectAll();
     for (int i = 0; i < 2_000 / STEP_MILLIS; i++) {
       advanceTime(STEP_MILLIS);
@@ -174,7 +183,10 @@
     assertAllShardsServed(TWO_SHARDS);
   }
 
-  /** Dispatchers behind a partition would be outbid and change hands once it heals. */
+  /**
+   * Dispatchers of a partitioned domain would be superseded, and their shards reassigned once the
+   * partition ends.
+   */
   @Test
   public void doesNotReassignShardsOfPartitionedDomains() {
     growLayout("10.0.5.1", TWO_SHARDS);
@@ -191,12 +203,15 @@
     assertEquals(dispatchers(), before);
   }
 
-  /** A host that has just started would take a shard from a dispatcher that it hasn't heard yet. */
+  /**
+   * A host that has just started would take over a shard from a dispatcher that it hasn't contacted
+   * yet.
+   */
   @Test
   public void claimsNoShardBeforeItsDispatcherCanBeContacted() {
     growLayout("10.0.5.1", TWO_SHARDS);
     advanceTime(1_000);
-    RouteView.ActiveDispatcher unheard = dispatchers().get(new ShardId("north", 1));
+    RouteView.ActiveDispatcher uncontacted = dispatchers().get(new ShardId("north", 1));
     String restarted =
         domains.keySet().stream()
             .filter(host -> domains.get(host).equals("north"))
@@ -213,14 +228,16 @@
     for (int i = 0; i < 10; i++) {
       advanceTime(HEARTBEAT_MILLIS);
       hosts.keySet().stream()
-          .filter(host -> !host.equals(unheard.host()))
+          .filter(host -> !host.equals(uncontacted.host()))
           .forEach(host -> membership.heartbeat(status(host, hosts.get(host)), now));
       membership.tick(now);
       assertEquals(membership.claimedEpoch(), 0);
     }
   }
 
-  /** A planned stop mustn't leave the shard to the time that shows a loss. */
+  /**
+   * After a planned stop, the shard would remain without a dispatcher until the silence timeout.
+   */
   @Test
   public void handsShardsOverWithinTheirDomain() {
     growLayout("10.0.5.1", TWO_SHARDS);
@@ -233,25 +250,29 @@
     assertEquals(domains.get(dispatchers().get(shard).host()), "east");
   }
 
-  /** Upstreams that came from another shard would make each shard change hands once. */
+  /**
+   * Upstreams that come from another shard, with a higher epoch, would cause each shard to be
+   * reassigned once.
+   */
   @Test
   public void keepsShardsOfHostsWhoseClaimsAreSuperseded() {
     growLayout("10.0.5.1", TWO_SHARDS);
     advanceTime(1_000);
     Map<ShardId, RouteView.ActiveDispatcher> before = dispatchers();
     before.forEach(
-        (shard, found) -> hosts.get(found.host()).handleSupersededClaim(found.epoch(), true, now));
+        (shard, dispatcher) ->
+            hosts.get(dispatcher.host()).handleSupersededClaim(dispatcher.epoch(), true, now));
     advanceTime(1_000);
     dispatchers()
         .forEach(
-            (shard, found) -> {
-              assertEquals(found.host(), before.get(shard).host());
-              assertTrue(found.epoch() > before.get(shard).epoch());
+            (shard, dispatcher) -> {
+              assertEquals(dispatcher.host(), before.get(shard).host());
+              assertTrue(dispatcher.epoch() > before.get(shard).epoch());
             });
     assertAllShardsServed(TWO_SHARDS);
   }
 
-  /** Each new route makes every host look at all of its work. */
+  /** Each change of the routes makes every host re-evaluate all of its work. */
   @Test
   public void reportsNoNewRoutesWhenOnlyLoadsChange() {
     growLayout("10.0.5.1", TWO_SHARDS);
@@ -348,7 +369,7 @@
         membership.claimedShard().orElse(ShardId.WHOLE_FLEET));
   }
 
-  /** Returns who claims what, by the hosts' own word; of silent hosts nothing. */
+  /** Returns the claims of all hosts that aren't silent. */
   private Map<ShardId, RouteView.ActiveDispatcher> dispatchers() {
     return hosts.entrySet().stream()
         .filter(host -> !silent.contains(host.getKey()))
@@ -372,7 +393,7 @@
     assertEquals(collectFromAllHosts(host -> host.routes().liveShards()), Set.of(expected));
   }
 
-  private <T> Set<T> collectFromAllHosts(Function<Membership, T> question) {
-    return hosts.values().stream().map(question).collect(Collectors.toSet());
+  private <T> Set<T> collectFromAllHosts(Function<Membership, T> property) {
+    return hosts.values().stream().map(property).collect(Collectors.toSet());
   }
 }
