--- a/burdockbay-core/src/main/java/org/burdockbay/core/catalog/Catalog.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/catalog/Catalog.java
@@ -9,14 +9,14 @@
 import java.util.Set;
 
 /**
- * The queues that are in force, checked and ready for lookups.
+ * A validated set of queues, indexed for lookups by host name and path.
  *
- * <p>A lookup probes one hash table for each length of prefix that occurs with the host name, so it
- * takes the same time with ten queues and with ten thousand.
+ * <p>A lookup probes one hash table once for each distinct prefix length of the host name, so its
+ * time depends on the number of those lengths and not on the number of queues.
  */
 public final class Catalog {
 
-  /** What is in force before the first catalog: no queue at all. */
+  /** The catalog without queues that is in force before the first one is published. */
   public static final Catalog EMPTY = new Catalog(0, List.of());
 
   private final long version;
@@ -34,19 +34,20 @@
   }
 
   /**
-   * Checks the parts of a catalog and builds it.
+   * Validates the queues and creates a catalog.
    *
-   * @throws CatalogException if a queue names an unknown service, two queues share host name and
-   *     prefix, or a timeout is not positive
+   * @param services names of the known services
+   * @throws CatalogException if the version or a timeout is not positive, a queue refers to an
+   *     unknown service, or two queues have the same host name and path prefix
    */
   public static Catalog of(long version, List<QueueRule> queues, Set<String> services)
       throws CatalogException {
     if (version < 1) {
       throw new CatalogException("version " + version + " is not positive");
     }
-    Set<String> places = new HashSet<>();
+    Set<String> routes = new HashSet<>();
     for (QueueRule queue : queues) {
-      validate(queue, services, places);
+      validate(queue, services, routes);
     }
     return new Catalog(version, queues);
   }
@@ -56,13 +57,13 @@
     return version;
   }
 
-  /** Returns the queue with the longest prefix of the path, if there is one. */
+  /** Returns the queue whose prefix is the longest match for the path, or empty if none matches. */
   public Optional<QueueRule> find(String hostName, String path) {
     VirtualHost host = virtualHosts.get(normalizeHostName(hostName));
     return host == null ? Optional.empty() : host.find(path);
   }
 
-  private static void validate(QueueRule queue, Set<String> services, Set<String> places)
+  private static void validate(QueueRule queue, Set<String> services, Set<String> routes)
       throws CatalogException {
     if (!services.contains(queue.service())) {
       throw new CatalogException(
@@ -71,7 +72,7 @@
     if (queue.timeoutMillis() < 1) {
       throw new CatalogException("queue " + queue.name() + " has timeout " + queue.timeoutMillis());
     }
-    if (!places.add(normalizeHostName(queue.hostName()) + ' ' + queue.pathPrefix())) {
+    if (!routes.add(normalizeHostName(queue.hostName()) + ' ' + queue.pathPrefix())) {
       throw new CatalogException(
           "queue "
               + queue.name()
@@ -85,7 +86,7 @@
     return hostName.toLowerCase(Locale.ROOT);
   }
 
-  /** The queues of one host name, by prefix. */
+  /** The queues of a host name. */
   private static final class VirtualHost {
 
     private final Map<String, QueueRule> queuesByPrefix = new HashMap<>();
--- a/burdockbay-core/src/main/java/org/burdockbay/core/catalog/CatalogException.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/catalog/CatalogException.java
@@ -3,7 +3,7 @@
 import org.burdockbay.core.error.BurdockbayException;
 import org.burdockbay.core.error.ErrorKind;
 
-/** A catalog that can't be put in force. */
+/** Thrown when a catalog is invalid or corrupt and can't be put in force. */
 public final class CatalogException extends BurdockbayException {
 
   private static final long serialVersionUID = 1L;
@@ -13,7 +13,7 @@
     super(ErrorKind.INVALID_CONFIGURATION, message);
   }
 
-  /** Creates an exception with a cause. */
+  /** Creates an exception with the given message and cause. */
   public CatalogException(String message, Throwable cause) {
     super(ErrorKind.INVALID_CONFIGURATION, message, cause);
   }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/catalog/CatalogPart.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/catalog/CatalogPart.java
@@ -12,7 +12,7 @@
  */
 public record CatalogPart(long version, int totalSize, int offset, Bytes data) {
 
-  /** Returns the reply of a source that has reached its limit of receivers. */
+  /** Returns the reply of a source that has reached its limit on concurrent receivers. */
   static CatalogPart busy(Request request) {
     return new CatalogPart(request.version(), 0, request.offset(), Bytes.EMPTY);
   }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/catalog/CompressedCatalog.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/catalog/CompressedCatalog.java
@@ -21,7 +21,7 @@
   /** The empty catalog that is in force before the first one is published. */
   public static final CompressedCatalog EMPTY = of(0, "");
 
-  /** Largest decompressed text, in bytes. */
+  /** Maximum size of the decompressed text, in bytes. */
   static final int MAX_TEXT_BYTES = 16 * 1024 * 1024;
 
   private static final int BUFFER_BYTES = 16 * 1024;
--- a/burdockbay-core/src/main/java/org/burdockbay/core/catalog/QueueRule.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/catalog/QueueRule.java
@@ -1,18 +1,18 @@
 package org.burdockbay.core.catalog;
 
 /**
- * One queue, and how requests find it.
+ * A queue and the rules for matching and dispatching its requests.
  *
- * @param name its name
- * @param hostName the name of the virtual host that requests must ask for
- * @param pathPrefix the prefix that the path of a request must begin with
- * @param service the service whose upstreams run the tasks
- * @param priority 0 comes first
- * @param maxAttempts how often a task may fail
- * @param stretch how many times the longest chain of work an answer may take to count as prompt
- * @param targetMillis what is added to that, in milliseconds
- * @param timeoutMillis longest time for an answer, in milliseconds
- * @param restricted whether an outside service decides which upstreams may run a step
+ * @param name name of the queue
+ * @param hostName virtual host that a request must name; case is ignored
+ * @param pathPrefix prefix that the path of a request must have
+ * @param service service whose upstreams run the tasks
+ * @param priority priority class; 0 is the highest
+ * @param maxAttempts number of failed attempts after which a task fails
+ * @param stretch factor on the duration of the longest chain of steps in the latency target
+ * @param targetMillis constant part of the latency target, in milliseconds
+ * @param timeoutMillis time after which a request times out, in milliseconds
+ * @param restricted whether an external service decides which upstreams may run a step
  */
 public record QueueRule(
     String name,
--- a/burdockbay-core/src/main/java/org/burdockbay/core/catalog/package-info.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/catalog/package-info.java
@@ -1,2 +1,2 @@
-/** Queues and services as one published document with a version. */
+/** The catalog: the versioned document that defines the queues and their services. */
 package org.burdockbay.core.catalog;
--- a/burdockbay-core/src/main/java/org/burdockbay/core/configuration/CallerRule.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/configuration/CallerRule.java
@@ -3,13 +3,13 @@
 import java.util.List;
 
 /**
- * A caller of the configuration.
+ * A caller that the configuration defines.
  *
- * @param name its name
+ * @param name name of the caller
  * @param credentialSha256 SHA-256 of its bearer credential, in lower-case hexadecimal
- * @param services the services that it may use
- * @param quota tasks that it may have in a failure domain, waiting and running
- * @param weight share of the slots relative to other callers
+ * @param services services that it may use
+ * @param quota maximum number of its waiting and running tasks in a failure domain
+ * @param weight share of the slots relative to other waiting callers
  */
 public record CallerRule(
     String name, String credentialSha256, List<String> services, int quota, int weight) {}
--- a/burdockbay-core/src/main/java/org/burdockbay/core/configuration/ConfigurationException.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/configuration/ConfigurationException.java
@@ -4,7 +4,7 @@
 import org.burdockbay.core.error.BurdockbayException;
 import org.burdockbay.core.error.ErrorKind;
 
-/** Thrown with every {@link Problem} of a document at once. */
+/** Thrown for an invalid document; contains every {@link Problem} that was found. */
 public class ConfigurationException extends BurdockbayException {
 
   private static final long serialVersionUID = 1L;
--- a/burdockbay-core/src/main/java/org/burdockbay/core/configuration/DispatchConfiguration.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/configuration/DispatchConfiguration.java
@@ -9,14 +9,14 @@
 import org.burdockbay.core.configuration.support.IniReader;
 
 /**
- * One version of the configuration: the text that the operators applied, and its typed form.
+ * A version of the configuration: the document that an operator applied and its typed content.
  *
- * @param version 0 before anything was applied, then rising by one with each accepted change
+ * @param version version number, incremented with each accepted change; 0 before the first one
  * @param text the document as applied
- * @param services services by name
- * @param jobs kinds of job by name
- * @param callers callers by name
- * @param policy the policy section
+ * @param services the services by name
+ * @param jobs the kinds of job by name
+ * @param callers the callers by name
+ * @param policy content of the policy section
  */
 public record DispatchConfiguration(
     long version,
@@ -26,17 +26,18 @@
     Map<String, CallerRule> callers,
     PolicyRule policy) {
 
-  /** The configuration of a system to which nothing was applied yet. */
+  /** The configuration before the first document is applied. */
   public static final DispatchConfiguration EMPTY =
       new DispatchConfiguration(0, "", Map.of(), Map.of(), Map.of(), PolicyRule.DEFAULT);
 
-  /** The document's size limit in characters, so that the agreed state stays small. */
+  /** Maximum characters of a document; limits the size of the replicated state. */
   public static final int MAX_CHARACTERS = 1_000_000;
 
   /**
-   * Reads and validates a document.
+   * Parses and validates a document.
    *
-   * @throws ConfigurationException with every problem of the document
+   * @param file name of the document in problems
+   * @throws ConfigurationException if the document is invalid, with every problem that was found
    */
   public static DispatchConfiguration parse(String file, long version, String text)
       throws ConfigurationException {
@@ -56,12 +57,12 @@
     return configuration;
   }
 
-  /** Returns the kind of job with the given name. */
+  /** Returns the kind of job with the given name, or empty if there is none. */
   public Optional<JobRule> job(String name) {
     return Optional.ofNullable(jobs.get(name));
   }
 
-  /** Returns the caller with the given name. */
+  /** Returns the caller with the given name, or empty if there is none. */
   public Optional<CallerRule> caller(String name) {
     return Optional.ofNullable(callers.get(name));
   }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/configuration/DispatchSchema.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/configuration/DispatchSchema.java
@@ -4,13 +4,13 @@
 
 import java.util.List;
 
-/** The schema of the configuration document that operators apply. */
+/** Defines the schema of the configuration document that operators apply. */
 public final class DispatchSchema {
 
-  /** The pattern of every name that operators choose. */
+  /** Regular expression for the names of services, jobs and callers. */
   public static final String NAME_PATTERN = "[A-Za-z0-9][A-Za-z0-9._-]{0,63}";
 
-  /** The sections of the document. */
+  /** The schema with all sections of the document. */
   public static final DocumentSchema SCHEMA =
       DocumentSchema.of(service(), job(), caller(), policy());
 
--- a/burdockbay-core/src/main/java/org/burdockbay/core/configuration/DocumentSchema.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/configuration/DocumentSchema.java
@@ -9,21 +9,21 @@
 import java.util.Set;
 
 /**
- * The kinds of section that a document may hold; validates an {@link IniDocument} against them.
+ * The sections that a document may contain. Validates an {@link IniDocument} against them.
  *
- * @param sections the definitions in the order of the reference page
+ * @param sections definitions of the sections, in the order of the reference page
  */
 public record DocumentSchema(List<SectionDefinition> sections) {
 
-  /** Creates a schema from its sections. */
+  /** Creates a schema with the given sections. */
   public static DocumentSchema of(SectionDefinition... sections) {
     return new DocumentSchema(List.of(sections));
   }
 
   /**
-   * Returns the validated sections, with fallbacks filled in.
+   * Validates a document and returns its sections, with default values for missing keys.
    *
-   * @param problems receives every problem found; the result is complete only if none was added
+   * @param problems list to which every problem is added; the result is valid only if none was
    */
   public List<ValidSection> validate(IniDocument document, List<Problem> problems) {
     List<ValidSection> valid = new ArrayList<>();
@@ -53,9 +53,9 @@
     Map<String, Integer> lines = new LinkedHashMap<>();
     for (IniDocument.Entry entry : section.entries()) {
       String field = "[" + section.header() + "] " + entry.key();
-      Optional<String> complaint = findViolation(definition, entry, values);
-      complaint.ifPresent(
-          text -> problems.add(new Problem(document.file(), entry.line(), field, text)));
+      Optional<String> violation = findViolation(definition, entry, values);
+      violation.ifPresent(
+          message -> problems.add(new Problem(document.file(), entry.line(), field, message)));
       values.put(entry.key(), entry.value());
       lines.put(entry.key(), entry.line());
     }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/configuration/JobRule.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/configuration/JobRule.java
@@ -3,17 +3,17 @@
 import java.util.List;
 
 /**
- * A kind of job of the configuration.
+ * A kind of job that the configuration defines.
  *
- * @param name its name
- * @param service the service that runs it
+ * @param name name of the kind of job
+ * @param service service that runs the job
  * @param idempotent whether a task may run more than once
  * @param runTimeMillis declared run time of a task, in milliseconds
- * @param deadlineMillis time for the answer, in milliseconds
- * @param maxTasks tasks that one job may have
- * @param retries further attempts of a failed task
- * @param hedgingEnabled whether a straggling task gets a second attempt
- * @param priority priority class; 0 goes first
+ * @param deadlineMillis time until the deadline if the caller sets no shorter one, in milliseconds
+ * @param maxTasks maximum number of tasks of a job
+ * @param retries maximum number of further attempts of a failed task
+ * @param hedgingEnabled whether a straggler gets a second attempt
+ * @param priority priority class; 0 is the highest
  * @param labels labels that a runner must have
  */
 public record JobRule(
--- a/burdockbay-core/src/main/java/org/burdockbay/core/configuration/PolicyRule.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/configuration/PolicyRule.java
@@ -1,16 +1,17 @@
 package org.burdockbay.core.configuration;
 
 /**
- * Limits on what the dispatcher does of its own accord.
+ * Limits on retries, hedging and ejection, and the retention of finished submissions.
  *
- * @param retryBudget retries for each first attempt of a caller
- * @param hedgeBudget second attempts for each first attempt
- * @param maxEjectedShare share of the runners that may be ejected at once
- * @param retentionMillis time for which a finished submission is kept, in milliseconds
+ * @param retryBudget maximum number of retries per first attempt of a caller
+ * @param hedgeBudget maximum number of hedged attempts per first attempt
+ * @param maxEjectedShare maximum share of a domain's runners that may be ejected at the same time
+ * @param retentionMillis time for which the answer of a finished submission is retained, in
+ *     milliseconds
  */
 public record PolicyRule(
     double retryBudget, double hedgeBudget, double maxEjectedShare, long retentionMillis) {
 
-  /** The policy of a document without a policy section. */
+  /** The policy that applies if a document has no policy section. */
   public static final PolicyRule DEFAULT = new PolicyRule(0.1, 0.02, 0.5, 120_000);
 }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/configuration/Problem.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/configuration/Problem.java
@@ -1,12 +1,12 @@
 package org.burdockbay.core.configuration;
 
 /**
- * One thing that is wrong with a document.
+ * A violation of the syntax or schema of a document.
  *
- * @param file the name of the document
- * @param line the line, from 1, or 0 where the whole document is meant
- * @param field section and key
- * @param message what is wrong and what is allowed
+ * @param file name of the document
+ * @param line line number, starting at 1; 0 if the problem concerns the whole document
+ * @param field section and key that the problem concerns
+ * @param message description of the violation and of the allowed values
  */
 public record Problem(String file, int line, String field, String message) {
 
--- a/burdockbay-core/src/main/java/org/burdockbay/core/configuration/ServiceRule.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/configuration/ServiceRule.java
@@ -1,10 +1,10 @@
 package org.burdockbay.core.configuration;
 
 /**
- * A service of the configuration.
+ * A service that the configuration defines.
  *
- * @param name its name
- * @param queueLimit tasks that may wait in a failure domain
- * @param concurrency tasks that may run at once in a failure domain
+ * @param name name of the service
+ * @param queueLimit maximum number of waiting tasks in a failure domain
+ * @param concurrency maximum number of concurrently running tasks in a failure domain
  */
 public record ServiceRule(String name, int queueLimit, int concurrency) {}
--- a/burdockbay-core/src/main/java/org/burdockbay/core/configuration/SettingDefinition.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/configuration/SettingDefinition.java
@@ -5,22 +5,22 @@
 import java.util.regex.Pattern;
 
 /**
- * One key of a section.
+ * Defines a key of a section.
  *
- * @param key the name of the key
- * @param type the values that it takes
- * @param defaultValue the value where the key is missing; empty where the key is required
- * @param help one sentence for the reference page
+ * @param key name of the key
+ * @param type type of its values
+ * @param defaultValue value used if the key is missing; empty if the key is required
+ * @param help description for the reference page, one sentence
  */
 public record SettingDefinition(
     String key, SettingType type, Optional<String> defaultValue, String help) {
 
-  /** Starts the definition of a key. */
+  /** Returns a builder for a key that accepts a list of names unless another type is set. */
   public static Builder key(String key) {
     return new Builder(key);
   }
 
-  /** Collects the parts of a {@link SettingDefinition}. */
+  /** Builds a {@link SettingDefinition}. */
   public static final class Builder {
 
     private final String key;
@@ -31,49 +31,53 @@
       this.key = key;
     }
 
-    /** Takes whole numbers between two bounds. */
+    /** Accepts whole numbers between two bounds, inclusive. */
     public Builder wholeNumber(long min, long max) {
       type = new SettingType.WholeNumber(min, max);
       return this;
     }
 
-    /** Takes decimal numbers between two bounds. */
+    /** Accepts decimal numbers between two bounds, inclusive. */
     public Builder ratio(double min, double max) {
       type = new SettingType.Ratio(min, max);
       return this;
     }
 
-    /** Takes {@code true} or {@code false}. */
+    /** Accepts {@code true} or {@code false}. */
     public Builder flag() {
       type = new SettingType.Flag();
       return this;
     }
 
-    /** Takes text that matches the pattern. */
+    /**
+     * Accepts text that matches a regular expression.
+     *
+     * @param allowed description of the accepted values for messages
+     */
     public Builder text(String pattern, String allowed) {
       type = new SettingType.Text(Pattern.compile(pattern), allowed);
       return this;
     }
 
-    /** Takes names separated by commas. */
+    /** Accepts names separated by commas. */
     public Builder names() {
       type = new SettingType.Names();
       return this;
     }
 
-    /** Takes one of a few words. */
-    public Builder oneOf(String... words) {
-      type = new SettingType.OneOf(List.of(words));
+    /** Accepts one of the given values. */
+    public Builder oneOf(String... values) {
+      type = new SettingType.OneOf(List.of(values));
       return this;
     }
 
-    /** Makes the key optional. */
+    /** Sets the value used if the key is missing, which makes the key optional. */
     public Builder defaultValue(String value) {
       defaultValue = Optional.of(value);
       return this;
     }
 
-    /** Ends the definition with its sentence for the reference page. */
+    /** Returns the definition with the given description for the reference page. */
     public SettingDefinition build(String help) {
       return new SettingDefinition(key, type, defaultValue, help);
     }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/configuration/SettingType.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/configuration/SettingType.java
@@ -4,28 +4,33 @@
 import java.util.Optional;
 import java.util.regex.Pattern;
 
-/** What values a setting takes. */
+/** The type of a setting, which defines the allowed values. */
 public sealed interface SettingType {
 
-  /** A whole number between two bounds, both allowed. */
+  /** A whole number between two bounds, inclusive. */
   record WholeNumber(long min, long max) implements SettingType {}
 
-  /** A decimal number between two bounds, both allowed. */
+  /** A decimal number between two bounds, inclusive. */
   record Ratio(double min, double max) implements SettingType {}
 
   /** Either {@code true} or {@code false}. */
   record Flag() implements SettingType {}
 
-  /** Text that matches a pattern as a whole. */
+  /**
+   * Text that matches a pattern in full.
+   *
+   * @param pattern the pattern
+   * @param allowed description of the allowed values for messages
+   */
   record Text(Pattern pattern, String allowed) implements SettingType {}
 
-  /** Names separated by commas; may be empty. */
+  /** Names separated by commas; an empty list is allowed. */
   record Names() implements SettingType {}
 
-  /** One of a few words. */
+  /** One of a fixed set of values. */
   record OneOf(List<String> values) implements SettingType {}
 
-  /** Returns a sentence that tells what is allowed. */
+  /** Returns a description of the allowed values for messages. */
   default String allowed() {
     return switch (this) {
       case WholeNumber number -> "a whole number from " + number.min() + " to " + number.max();
@@ -37,9 +42,9 @@
     };
   }
 
-  /** Returns what is wrong with the value, or empty if it is allowed. */
+  /** Returns a message if the value is not allowed, or empty if it is. */
   default Optional<String> findViolation(String value) {
-    boolean fine =
+    boolean valid =
         switch (this) {
           case WholeNumber number -> isWithin(value, number);
           case Ratio ratio -> isWithin(value, ratio);
@@ -48,7 +53,7 @@
           case Names names -> value.isEmpty() || value.matches("[\\w.-]+(\\s*,\\s*[\\w.-]+)*");
           case OneOf oneOf -> oneOf.values().contains(value);
         };
-    return fine
+    return valid
         ? Optional.empty()
         : Optional.of("'" + value + "' is not allowed; give " + allowed());
   }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/configuration/ValidSection.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/configuration/ValidSection.java
@@ -5,14 +5,14 @@
 import java.util.Map;
 
 /**
- * A section whose keys and values passed the schema, with typed access.
+ * A section whose keys and values conform to the schema, with typed accessors.
  *
- * @param file the name of the document
- * @param kind the first word of the header
- * @param name what follows it
- * @param line the line of the header
- * @param values every key of the definition with its value or fallback
- * @param lines the line of each key that the document gives
+ * @param file name of the document
+ * @param kind first word of the header
+ * @param name part of the header after the first word; empty if there is none
+ * @param line line number of the header
+ * @param values values by key, with default values for missing keys
+ * @param lines line numbers by key, for the keys that the document contains
  */
 public record ValidSection(
     String file,
@@ -22,27 +22,27 @@
     Map<String, String> values,
     Map<String, Integer> lines) {
 
-  /** Returns the value as text. */
+  /** Returns the value of a key as text, or an empty string if the section has no such key. */
   public String text(String key) {
     return values.getOrDefault(key, "");
   }
 
-  /** Returns the value as a whole number. */
+  /** Returns the value of a key as a whole number. */
   public int wholeNumber(String key) {
     return Integer.parseInt(text(key));
   }
 
-  /** Returns the value as a decimal number. */
+  /** Returns the value of a key as a decimal number. */
   public double ratio(String key) {
     return Double.parseDouble(text(key));
   }
 
-  /** Returns whether the value is {@code true}. */
+  /** Returns whether the value of a key is {@code true}. */
   public boolean flag(String key) {
     return Boolean.parseBoolean(text(key));
   }
 
-  /** Returns the names of a list. */
+  /** Returns the names in the comma-separated value of a key. */
   public List<String> names(String key) {
     return Arrays.stream(text(key).split(",", -1))
         .map(String::strip)
@@ -50,7 +50,10 @@
         .toList();
   }
 
-  /** Returns a problem with the given key at its line. */
+  /**
+   * Returns a problem with the given key. Its line is that of the key, or that of the header if the
+   * document doesn't contain the key.
+   */
   public Problem problem(String key, String message) {
     String header = name.isEmpty() ? kind : kind + " " + name;
     return new Problem(file, lines.getOrDefault(key, line), "[" + header + "] " + key, message);
--- a/burdockbay-core/src/main/java/org/burdockbay/core/configuration/package-info.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/configuration/package-info.java
@@ -1,7 +1,7 @@
 /**
- * The configuration document: its schema, its validation, and its typed form.
+ * The configuration document: its schema, its validation and its typed representation.
  *
- * <p>The same schema validates the settings of a host and generates the reference page, so what the
- * page says is what the code checks.
+ * <p>Schemas validate the configuration and the settings of a host, and the reference page is
+ * generated from them, so it always matches the validation.
  */
 package org.burdockbay.core.configuration;
--- a/burdockbay-core/src/main/java/org/burdockbay/core/configuration/support/IniReader.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/configuration/support/IniReader.java
@@ -13,71 +13,71 @@
 import org.burdockbay.core.configuration.Problem;
 
 /**
- * Reads INI text with Commons Configuration and adds the line numbers, which that library does not
- * keep.
+ * Reads INI text with Commons Configuration and adds line numbers, which the library doesn't
+ * provide.
  *
- * <p>The values are the library's. A scan of the headers and keys gives their lines and shows what
- * the library merges silently: sections and keys that are given twice.
+ * <p>The values are those that the library parsed. A separate scan of headers and keys determines
+ * their line numbers and finds duplicate sections and keys, which the library merges silently.
  */
 public final class IniReader {
 
   private final String file;
 
-  /** Creates a reader that names the given file in its problems. */
+  /** Creates a reader that reports problems under the given file name. */
   public IniReader(String file) {
     this.file = file;
   }
 
   /**
-   * Reads the text.
+   * Parses the text.
    *
-   * @throws ConfigurationException if it isn't INI
+   * @throws ConfigurationException if the text is not valid INI
    */
   public IniDocument read(String text) throws ConfigurationException {
-    INIConfiguration library = new INIConfiguration();
+    INIConfiguration parsed = new INIConfiguration();
     try {
-      library.read(new StringReader(text));
+      parsed.read(new StringReader(text));
     } catch (org.apache.commons.configuration2.ex.ConfigurationException | IOException e) {
       throw failure(0, "", "not INI: " + e.getMessage());
     }
-    return addLineNumbers(text, library);
+    return addLineNumbers(text, parsed);
   }
 
-  private IniDocument addLineNumbers(String text, INIConfiguration library)
+  private IniDocument addLineNumbers(String text, INIConfiguration parsed)
       throws ConfigurationException {
     List<IniDocument.Section> sections = new ArrayList<>();
     Map<String, Integer> occurrences = new LinkedHashMap<>();
-    int number = 0;
+    int lineNumber = 0;
     for (String raw : text.split("\n", -1)) {
-      number++;
+      lineNumber++;
       String line = raw.strip();
       if (line.isEmpty() || line.startsWith("#") || line.startsWith(";")) {
         continue;
       }
       if (line.startsWith("[")) {
         if (!line.endsWith("]")) {
-          throw failure(number, line, "the header has no closing bracket");
+          throw failure(lineNumber, line, "the header has no closing bracket");
         }
         String header = line.substring(1, line.length() - 1).strip();
-        sections.add(new IniDocument.Section(header, number, new ArrayList<>()));
+        sections.add(new IniDocument.Section(header, lineNumber, new ArrayList<>()));
         continue;
       }
       int equals = line.indexOf('=');
       if (equals < 1 || sections.isEmpty()) {
-        String wanted = sections.isEmpty() ? "a [section] comes first" : "expected key = value";
-        throw failure(number, line, wanted);
+        String expected = sections.isEmpty() ? "a [section] comes first" : "expected key = value";
+        throw failure(lineNumber, line, expected);
       }
       IniDocument.Section section = sections.getLast();
       String key = line.substring(0, equals).strip();
-      String value = readValue(library, section.header(), key, occurrences);
-      section.entries().add(new IniDocument.Entry(key, value, number));
+      String value = readValue(parsed, section.header(), key, occurrences);
+      section.entries().add(new IniDocument.Entry(key, value, lineNumber));
     }
     return new IniDocument(file, sections);
   }
 
   private static String readValue(
-      INIConfiguration library, String header, String key, Map<String, Integer> occurrences) {
-    SubnodeConfiguration section = library.getSection(header);
+      INIConfiguration parsed, String header, String key, Map<String, Integer> occurrences) {
+    SubnodeConfiguration section = parsed.getSection(header);
     List<Object> values = section.getList(key.replace(".", ".."));
     int occurrence = occurrences.merge(header + "\n" + key, 1, Integer::sum) - 1;
     return occurrence < values.size() ? String.valueOf(values.get(occurrence)).strip() : "";
--- a/burdockbay-core/src/main/java/org/burdockbay/core/configuration/support/package-info.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/configuration/support/package-info.java
@@ -1,2 +1,2 @@
-/** Readers of configuration text that rest on a library. */
+/** Readers of configuration text that are based on a third-party library. */
 package org.burdockbay.core.configuration.support;
--- a/burdockbay-core/src/main/java/org/burdockbay/core/control/ControlCommand.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/control/ControlCommand.java
@@ -3,29 +3,30 @@
 import org.burdockbay.core.catalog.CompressedCatalog;
 import org.burdockbay.core.ledger.LedgerCommand;
 
-/** A command in the agreement log. */
+/** A command that is replicated through the agreement log and applied by every voter. */
 public sealed interface ControlCommand {
 
-  /** A command to the ledger. */
+  /** Passes a command to the ledger. */
   record LedgerOperation(LedgerCommand command) implements ControlCommand {}
 
   /**
-   * Replaces the configuration if its version is still the expected one.
+   * Replaces the configuration if its current version is the expected one.
    *
-   * @param changeId identity of the change, chosen by the operator's tool; a resend after a lost
-   *     answer carries the same one
-   * @param operator who asks
-   * @param expectedVersion the version that the operator edited
-   * @param text the whole new document, already validated
+   * @param changeId unique id of the change, chosen by the operator's tool; a resend after a lost
+   *     reply has the same id
+   * @param operator name of the operator who applies the change
+   * @param expectedVersion version on which the change is based
+   * @param text complete new document, already validated
    */
   record ApplyConfiguration(String changeId, String operator, long expectedVersion, String text)
       implements ControlCommand {}
 
-  /** Puts a catalog in force, unless the one in force has the same or a higher version. */
+  /** Puts a catalog in force, unless the current one has the same or a higher version. */
   record PublishCatalog(CompressedCatalog catalog) implements ControlCommand {}
 
   /**
-   * Reads the catalog in the order of the log, and so the newest one that was acknowledged before.
+   * Reads the current catalog. The read is ordered by the log, so the result is at least as new as
+   * every version that was acknowledged before.
    */
   record ReadCatalog() implements ControlCommand {}
 }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/control/ControlImage.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/control/ControlImage.java
@@ -5,12 +5,12 @@
 import org.burdockbay.core.ledger.LedgerImage;
 
 /**
- * The whole agreed state, for snapshots.
+ * A copy of the complete {@link ControlState}, as stored in snapshots.
  *
- * @param configuration the versions kept, oldest first
- * @param changes accepted change ids with their versions, oldest first
- * @param ledger the ledger
- * @param catalog the catalog; version 0 while there is none
+ * @param configuration retained versions of the configuration, oldest first
+ * @param changes accepted changes with the versions that they created, oldest first
+ * @param ledger state of the ledger
+ * @param catalog catalog in force; version 0 before the first one
  */
 public record ControlImage(
     List<ConfigurationVersion> configuration,
@@ -24,10 +24,18 @@
     changes = List.copyOf(changes);
   }
 
-  /** One version of the configuration document. */
+  /**
+   * A version of the configuration document.
+   *
+   * @param version number of the version, starting at 1
+   * @param text the complete document
+   * @param changeId id of the change that created the version
+   * @param operator name of the operator who applied the change
+   * @param acceptedAt time that the leader assigned to the change, in milliseconds
+   */
   public record ConfigurationVersion(
       long version, String text, String changeId, String operator, long acceptedAt) {}
 
-  /** A change id with the version that it was accepted as. */
+  /** The id of an accepted change and the version that the change created. */
   public record AcceptedChange(String changeId, long version) {}
 }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/control/ControlReply.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/control/ControlReply.java
@@ -3,21 +3,29 @@
 import org.burdockbay.core.catalog.CompressedCatalog;
 import org.burdockbay.core.ledger.LedgerReply;
 
-/** How a {@link ControlCommand} was answered. */
+/** The reply to a {@link ControlCommand}. */
 public sealed interface ControlReply {
 
-  /** The ledger's answer. */
+  /** The reply of the ledger. */
   record LedgerResult(LedgerReply reply) implements ControlReply {}
 
-  /** The configuration was accepted under the given version, or a catalog of it is in force. */
+  /**
+   * The configuration or catalog was accepted, or had been accepted before.
+   *
+   * @param version version of the configuration, or of the catalog that is in force
+   */
   record Accepted(long version) implements ControlReply {}
 
-  /** The configuration has another version than the one that the operator edited. */
+  /**
+   * The change is based on an outdated version of the configuration.
+   *
+   * @param currentVersion version of the current configuration
+   */
   record VersionConflict(long currentVersion) implements ControlReply {}
 
-  /** No quorum answered in time; the command may or may not take effect. */
+  /** No quorum replied before the timeout; the command may or may not take effect. */
   record Unavailable() implements ControlReply {}
 
-  /** The catalog in force; version 0 while there is none. */
+  /** The catalog in force; version 0 before the first one. */
   record CatalogContent(CompressedCatalog catalog) implements ControlReply {}
 }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/control/ControlState.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/control/ControlState.java
@@ -11,18 +11,23 @@
 import org.burdockbay.core.ledger.Ledger;
 
 /**
- * The agreed state as a deterministic state machine: the same commands in the same order give the
- * same state and the same replies on every voter.
+ * The replicated state as a deterministic state machine.
+ *
+ * <p>Every voter applies the same commands in the same order and reaches the same state and the
+ * same replies.
  */
 public final class ControlState {
 
-  /** Versions of the document that are kept for the history. */
+  /** Maximum number of configuration versions retained for the history. */
   public static final int MAX_RETAINED_VERSIONS = 20;
 
-  /** Characters of kept documents; past it the oldest versions go first. */
+  /** Maximum characters of all retained versions; beyond it the oldest versions are removed. */
   public static final int MAX_RETAINED_CHARACTERS = 4_000_000;
 
-  /** Change ids that are remembered; a resend after that many other changes is a new change. */
+  /**
+   * Maximum number of retained change ids. A change that is resent after this many other changes
+   * counts as a new change.
+   */
   public static final int MAX_RETAINED_CHANGES = 10_000;
 
   private final Ledger ledger = new Ledger();
@@ -34,7 +39,7 @@
   /**
    * Applies a command.
    *
-   * @param now the time that the leader gave the command, in milliseconds
+   * @param now time that the leader assigned to the command, in milliseconds
    */
   public ControlReply apply(ControlCommand command, long now) {
     return switch (command) {
@@ -51,12 +56,12 @@
     return catalog;
   }
 
-  /** Returns the newest version of the configuration, if any was applied. */
+  /** Returns the current version of the configuration, or empty if none was applied yet. */
   public Optional<ControlImage.ConfigurationVersion> configuration() {
     return Optional.ofNullable(versions.peekLast());
   }
 
-  /** Returns the kept versions, oldest first. */
+  /** Returns the retained versions of the configuration, oldest first. */
   public List<ControlImage.ConfigurationVersion> history() {
     return List.copyOf(versions);
   }
@@ -66,7 +71,7 @@
     return ledger;
   }
 
-  /** Returns the whole state. */
+  /** Returns a copy of the complete state. */
   public ControlImage image() {
     List<ControlImage.AcceptedChange> accepted = new ArrayList<>();
     acceptedChanges.forEach(
@@ -74,7 +79,7 @@
     return new ControlImage(history(), accepted, ledger.image(), catalog);
   }
 
-  /** Replaces the whole state. */
+  /** Replaces the complete state. */
   public void restore(ControlImage image) {
     versions.clear();
     versions.addAll(image.configuration());
@@ -86,10 +91,10 @@
   }
 
   /**
-   * Takes a catalog if its version is the highest.
+   * Puts a catalog in force if its version is higher than the current one.
    *
-   * <p>A publisher that lost the answer sends the same again, and two publishers may race. So an
-   * older or equal version changes nothing and is answered like a success.
+   * <p>A publisher resends a catalog if the reply was lost, and several publishers may compete. An
+   * older or equal version therefore changes nothing and is accepted as well.
    */
   private ControlReply publishCatalog(ControlCommand.PublishCatalog publish) {
     if (publish.catalog().version() > catalog.version()) {
@@ -101,7 +106,7 @@
   private ControlReply applyConfiguration(ControlCommand.ApplyConfiguration apply, long now) {
     Long accepted = acceptedChanges.get(apply.changeId());
     if (accepted != null) {
-      // The operator resends because the answer was lost; it gets the first answer again.
+      // The change was resent because the reply was lost: returns the original reply.
       return new ControlReply.Accepted(accepted);
     }
     long current = configuration().map(ControlImage.ConfigurationVersion::version).orElse(0L);
--- a/burdockbay-core/src/main/java/org/burdockbay/core/control/package-info.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/control/package-info.java
@@ -1,2 +1,2 @@
-/** The agreed state: configuration and ledger, fed by the agreement log. */
+/** The replicated state machine of the agreement log: configuration, catalog and ledger. */
 package org.burdockbay.core.control;
--- a/burdockbay-core/src/main/java/org/burdockbay/core/error/package-info.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/error/package-info.java
@@ -1,2 +1,2 @@
-/** The closed list of error kinds and the root of the checked exceptions. */
+/** The closed set of error kinds and the base class of the checked exceptions. */
 package org.burdockbay.core.error;
--- a/burdockbay-core/src/main/java/org/burdockbay/core/ledger/Ledger.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/ledger/Ledger.java
@@ -19,28 +19,33 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The submissions that must run at most once, with the failure domain that may run each.
+ * Records the submissions that must run at most once and the failure domain that may run each.
  *
- * <p>The chain that keeps a task from starting twice has three links. A key is opened in one domain
- * only; in that domain only the dispatcher with the registered epoch may open, and it starts
- * guarded tasks only on runners of the roster; and a dispatcher that takes over gets that roster
- * and fences every runner on it before it starts what an earlier one opened.
+ * <p>Three rules prevent a task from starting twice:
  *
- * <p>A closed record is kept for {@link #RETENTION_MILLIS}; a key older than that is new again. An
- * open record is never forgotten: when the ledger is full, new submissions are refused instead.
+ * <ul>
+ *   <li>A key is open in one domain only.
+ *   <li>In that domain, only the dispatcher with the registered epoch may open submissions, and it
+ *       starts at-most-once tasks only on runners of the roster.
+ *   <li>A dispatcher that takes over receives the roster and fences every runner on it before it
+ *       starts tasks of submissions that an earlier dispatcher opened.
+ * </ul>
+ *
+ * <p>A closed record is retained for {@link #RETENTION_MILLIS}; after that, its key counts as new.
+ * An open record never expires: a full ledger rejects new submissions instead.
  */
 public final class Ledger {
 
-  /** Time for which the outcome of a closed submission is kept, in milliseconds. */
+  /** Time for which the outcome of a closed submission is retained, in milliseconds. */
   public static final long RETENTION_MILLIS = 3_600_000;
 
-  /** Records that the ledger may hold. */
+  /** Maximum number of records, open and closed. */
   public static final int MAX_RECORDS = 200_000;
 
-  /** Characters of kept answers over all records. */
+  /** Total characters of the retained outcomes at which new submissions are rejected. */
   public static final long MAX_CHARACTERS = 24_000_000;
 
-  /** Characters of the answers of one record; larger answers are reported but not kept. */
+  /** Maximum characters of a retained outcome; larger answers are reported but not retained. */
   public static final int MAX_CHARACTERS_PER_RECORD = 262_144;
 
   private final Map<String, DomainState> domains = new HashMap<>();
@@ -49,9 +54,9 @@
   private long retainedCharacters;
 
   /**
-   * Applies a command; the result depends only on the commands so far and their times.
+   * Applies a command. The result depends only on the commands applied so far and their times.
    *
-   * @param now the time that the leader gave the command, in milliseconds
+   * @param now time that the leader assigned to the command, in milliseconds
    */
   public LedgerReply apply(LedgerCommand command, long now) {
     expireClosed(now);
@@ -72,7 +77,7 @@
     return submissions.size();
   }
 
-  /** Returns the whole state. */
+  /** Returns a copy of the complete state. */
   public LedgerImage image() {
     List<LedgerImage.DomainRecord> domainRecords = new ArrayList<>();
     domains.values().stream()
@@ -90,7 +95,7 @@
     return new LedgerImage(domainRecords, records);
   }
 
-  /** Replaces the whole state. */
+  /** Replaces the complete state. */
   public void restore(LedgerImage image) {
     domains.clear();
     submissions.clear();
@@ -142,8 +147,8 @@
     if (open.epoch() != domain.epoch) {
       return new LedgerReply.Fenced(domain.epoch);
     }
-    Submission known = submissions.get(open.key());
-    if (known == null) {
+    Submission existing = submissions.get(open.key());
+    if (existing == null) {
       if (submissions.size() >= MAX_RECORDS || retainedCharacters >= MAX_CHARACTERS) {
         return new LedgerReply.Full();
       }
@@ -151,49 +156,51 @@
           open.key(), new Submission(open.key(), open.digest(), open.tasks(), domain.name));
       return new LedgerReply.Granted();
     }
-    LedgerReply state = replyForExisting(known, open.digest());
+    LedgerReply reply = replyForExisting(existing, open.digest());
     boolean openHere =
-        state instanceof LedgerReply.OpenElsewhere elsewhere
+        reply instanceof LedgerReply.OpenElsewhere elsewhere
             && elsewhere.domain().equals(domain.name);
-    // The dispatcher with this epoch has every job that it opened in memory, and got those of
-    // earlier epochs when it registered; so it knows which of the two a grant stands for.
-    return openHere ? new LedgerReply.Granted() : state;
+    // A grant doesn't tell whether the submission is new or already open. The dispatcher can tell:
+    // it has its own open jobs in memory and received those of earlier epochs when it registered.
+    return openHere ? new LedgerReply.Granted() : reply;
   }
 
   private LedgerReply lookUp(LedgerRequest.Lookup lookup) {
-    Submission known = submissions.get(lookup.key());
-    return known == null ? new LedgerReply.Unknown() : replyForExisting(known, lookup.digest());
+    Submission existing = submissions.get(lookup.key());
+    return existing == null
+        ? new LedgerReply.Unknown()
+        : replyForExisting(existing, lookup.digest());
   }
 
-  private static LedgerReply replyForExisting(Submission known, String digest) {
-    if (!digest.equals(LedgerRequest.ANY_DIGEST) && !digest.equals(known.digest)) {
+  private static LedgerReply replyForExisting(Submission existing, String digest) {
+    if (!digest.equals(LedgerRequest.ANY_DIGEST) && !digest.equals(existing.digest)) {
       return new LedgerReply.ContentMismatch();
     }
-    if (known.outcome != null) {
-      return new LedgerReply.Closed(known.outcome);
+    if (existing.outcome != null) {
+      return new LedgerReply.Closed(existing.outcome);
     }
-    return new LedgerReply.OpenElsewhere(known.domain);
+    return new LedgerReply.OpenElsewhere(existing.domain);
   }
 
   private LedgerReply closeSubmission(DomainState domain, LedgerRequest.Close close, long now) {
     if (close.epoch() != domain.epoch) {
       return new LedgerReply.Fenced(domain.epoch);
     }
-    Submission known = submissions.get(close.key());
-    if (known == null || !known.domain.equals(domain.name)) {
+    Submission existing = submissions.get(close.key());
+    if (existing == null || !existing.domain.equals(domain.name)) {
       return new LedgerReply.Granted();
     }
-    if (known.outcome != null) {
-      return new LedgerReply.Closed(known.outcome);
+    if (existing.outcome != null) {
+      return new LedgerReply.Closed(existing.outcome);
     }
     boolean neverRan =
         close.outcome() instanceof JobOutcome.Failed failed
             && failed.kind().runGuarantee() == RunGuarantee.NOT_RUN;
     if (neverRan) {
-      // The caller was told that it may come back with the same key, so the key is free again.
+      // The reply allows the caller to resubmit with the same key, so the key is released.
       submissions.remove(close.key());
     } else {
-      markClosed(known, withinSizeLimit(close.outcome()), now);
+      markClosed(existing, withinSizeLimit(close.outcome()), now);
     }
     return new LedgerReply.Granted();
   }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/ledger/LedgerImage.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/ledger/LedgerImage.java
@@ -7,10 +7,10 @@
 import org.burdockbay.core.submission.SubmissionKey;
 
 /**
- * The whole state of a {@link Ledger}, for snapshots.
+ * A copy of the complete state of a {@link Ledger}, as stored in snapshots.
  *
- * @param domains the failure domains that registered
- * @param records the submissions, oldest first
+ * @param domains failure domains that have sent commands, by name
+ * @param records open submissions in the order of opening, then closed ones in that of closing
  */
 public record LedgerImage(List<DomainRecord> domains, List<SubmissionRecord> records) {
 
@@ -20,7 +20,13 @@
     records = List.copyOf(records);
   }
 
-  /** A failure domain with the epoch of its dispatcher and the runners that may hold attempts. */
+  /**
+   * The record of a failure domain.
+   *
+   * @param domain name of the failure domain
+   * @param epoch registered epoch of its dispatcher
+   * @param roster runners that may hold attempts
+   */
   public record DomainRecord(String domain, long epoch, List<RunnerId> roster) {
 
     /** Copies the list. */
@@ -29,7 +35,16 @@
     }
   }
 
-  /** A submission; without an outcome it is open. */
+  /**
+   * The record of a submission.
+   *
+   * @param key key of the submission
+   * @param digest digest of its content
+   * @param tasks number of its tasks
+   * @param domain failure domain that opened it
+   * @param closedAt time at which it was closed, in milliseconds; 0 while it is open
+   * @param outcome its outcome; empty while it is open
+   */
   public record SubmissionRecord(
       SubmissionKey key,
       String digest,
--- a/burdockbay-core/src/main/java/org/burdockbay/core/ledger/LedgerReply.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/ledger/LedgerReply.java
@@ -5,17 +5,17 @@
 import org.burdockbay.core.submission.JobOutcome;
 import org.burdockbay.core.submission.SubmissionKey;
 
-/** How the ledger answers a command. */
+/** The reply of the ledger to a {@link LedgerCommand}. */
 public sealed interface LedgerReply {
 
-  /** The command took effect, or had taken effect before. */
+  /** The command took effect now or earlier. */
   record Granted() implements LedgerReply {}
 
   /**
    * The dispatcher took over its failure domain.
    *
    * @param roster runners that may hold attempts of earlier epochs
-   * @param open submissions that earlier epochs opened and did not close
+   * @param open submissions that earlier epochs opened but did not close
    */
   record Registered(List<RunnerId> roster, List<OpenSubmission> open) implements LedgerReply {
 
@@ -26,31 +26,35 @@
     }
   }
 
-  /** The submission is unknown. */
+  /** The ledger has no record of the submission. */
   record Unknown() implements LedgerReply {}
 
-  /** The submission was opened in another failure domain and isn't closed. */
+  /** The submission is open in the given failure domain. */
   record OpenElsewhere(String domain) implements LedgerReply {}
 
-  /** The submission is closed. */
+  /** The submission is closed with the given outcome. */
   record Closed(JobOutcome outcome) implements LedgerReply {}
 
-  /** The key was used with other content. */
+  /** The key belongs to a submission with different content. */
   record ContentMismatch() implements LedgerReply {}
 
-  /** The epoch of the command is not the registered one. */
+  /**
+   * The epoch of the command is not the registered one.
+   *
+   * @param epoch the registered epoch
+   */
   record Fenced(long epoch) implements LedgerReply {}
 
-  /** The ledger holds as many records as it may. */
+  /** The ledger has reached its limit of records or of retained characters. */
   record Full() implements LedgerReply {}
 
-  /** No quorum answered in time; the command may or may not take effect. */
+  /** No quorum replied before the timeout; the command may or may not take effect. */
   record Unavailable() implements LedgerReply {}
 
   /**
-   * A submission that was opened and not closed.
+   * A submission that was opened but not closed.
    *
-   * @param key the submission
+   * @param key key of the submission
    * @param digest digest of its content
    * @param tasks number of its tasks
    */
--- a/burdockbay-core/src/main/java/org/burdockbay/core/ledger/package-info.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/ledger/package-info.java
@@ -1,6 +1,6 @@
 /**
  * The ledger of submissions that must run at most once, as a deterministic state machine.
  *
- * <p>The agreement log feeds it the same commands in the same order on every voter.
+ * <p>Every voter applies the commands of the agreement log in the same order.
  */
 package org.burdockbay.core.ledger;
--- a/burdockbay-core/src/main/java/org/burdockbay/core/statechart/StateChart.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/statechart/StateChart.java
@@ -12,11 +12,12 @@
 import java.util.regex.Pattern;
 
 /**
- * An immutable state chart, read from text with one transition a line.
+ * An immutable statechart that is parsed from text with one transition per line.
  *
- * <p>A line is {@code source -- event --> target}; {@code initial NAME} names the first state, and
- * a line that starts with {@code #} is a comment. An event without a transition from the current
- * state is a late or crossed one, and {@link #nextState} tells so by an empty result.
+ * <p>A transition is written {@code source -- event --> target}. The line {@code initial NAME}
+ * defines the initial state, and a line that starts with {@code #} is a comment. An event may
+ * arrive late or cross another one, and then has no transition from the current state; {@link
+ * #nextState} returns empty for it.
  */
 public final class StateChart {
 
@@ -33,25 +34,27 @@
   }
 
   /**
-   * Reads a chart from a class path resource next to the given type.
+   * Loads a statechart from a class path resource in the package of the given type.
    *
-   * @throws StateChartException if the resource is missing or a line can't be read
+   * @throws StateChartException if the resource is missing, unreadable or invalid
    */
-  public static StateChart load(Class<?> anchor, String resource) throws StateChartException {
-    try (InputStream in = anchor.getResourceAsStream(resource)) {
+  public static StateChart load(Class<?> type, String resource) throws StateChartException {
+    try (InputStream in = type.getResourceAsStream(resource)) {
       if (in == null) {
-        throw new StateChartException("state chart " + resource + " is missing");
+        throw new StateChartException("statechart resource " + resource + " not found");
       }
       return parse(resource, new String(in.readAllBytes(), StandardCharsets.UTF_8));
     } catch (IOException e) {
-      throw new StateChartException("state chart " + resource + " can't be read: " + e);
+      throw new StateChartException("failed to read statechart resource " + resource + ": " + e);
     }
   }
 
   /**
-   * Reads a chart from text.
+   * Parses a statechart.
    *
-   * @throws StateChartException naming the file and line that can't be read
+   * @param file name of the source in messages
+   * @throws StateChartException if a line is invalid, a transition is defined twice or there is no
+   *     initial state
    */
   public static StateChart parse(String file, String text) throws StateChartException {
     String initial = null;
@@ -68,37 +71,43 @@
       if (first.matches()) {
         initial = first.group(1);
       } else if (!transition.matches()) {
-        throw new StateChartException(file + ":" + lineNumber + ": not a transition: " + line);
+        throw new StateChartException(
+            file
+                + ":"
+                + lineNumber
+                + ": expected a transition or the initial state, found: "
+                + line);
       } else {
-        StateAndEvent step = new StateAndEvent(transition.group(1), transition.group(2));
-        if (transitions.put(step, transition.group(3)) != null) {
-          throw new StateChartException(file + ":" + lineNumber + ": given twice: " + line);
+        StateAndEvent source = new StateAndEvent(transition.group(1), transition.group(2));
+        if (transitions.put(source, transition.group(3)) != null) {
+          throw new StateChartException(
+              file + ":" + lineNumber + ": duplicate transition: " + line);
         }
       }
     }
     if (initial == null) {
-      throw new StateChartException(file + ": no initial state");
+      throw new StateChartException(file + ": initial state not defined");
     }
     return new StateChart(initial, transitions);
   }
 
-  /** Returns the state in which an instance starts. */
+  /** Returns the initial state. */
   public String initialState() {
     return initialState;
   }
 
-  /** Returns the state after the event, or empty if the event does nothing in this state. */
+  /** Returns the state after the event, or empty if the state has no transition for the event. */
   public Optional<String> nextState(String state, String event) {
     return Optional.ofNullable(transitions.get(new StateAndEvent(state, event)));
   }
 
-  /** Returns all states that the chart names. */
+  /** Returns all states of the statechart. */
   public Set<String> states() {
     Set<String> states = new LinkedHashSet<>();
     states.add(initialState);
     transitions.forEach(
-        (step, target) -> {
-          states.add(step.state());
+        (source, target) -> {
+          states.add(source.state());
           states.add(target);
         });
     return states;
--- a/burdockbay-core/src/main/java/org/burdockbay/core/statechart/package-info.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/statechart/package-info.java
@@ -1,2 +1,2 @@
-/** State charts that are kept in files and interpreted by the code. */
+/** Statecharts that are defined in resource files and interpreted at run time. */
 package org.burdockbay.core.statechart;
