--- a/burdockbay-core/src/test/java/org/burdockbay/core/FuzzOptions.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/FuzzOptions.java
@@ -4,12 +4,15 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * How deep the fuzzing goes: fixed in CI by count and seed, so that every run gives the same
- * verdict; {@code -Dfuzz.factor} and {@code -Dfuzz.seed} make a longer or another run.
+ * Options and statistics of the fuzz tests.
+ *
+ * <p>By default, the number of examples and the seed are fixed, so that every CI run gives the same
+ * result. {@code -Dfuzz.factor} multiplies the number of examples, {@code -Dfuzz.seed} sets another
+ * seed.
  */
 public final class FuzzOptions {
 
-  /** Shrinking steps after a failure. */
+  /** Maximum number of shrink cycles after a failure. */
   public static final int MAX_SHRINK_CYCLES = 2_000;
 
   private static final long DEFAULT_SEED = 20_261_203L;
@@ -18,7 +21,12 @@
 
   private FuzzOptions() {}
 
-  /** Counts one example with its events and with what it reached, for the figures of a long run. */
+  /**
+   * Adds an example to the statistics of a model.
+   *
+   * @param events number of simulated events
+   * @param reached number of results that the example reached, such as committed entries
+   */
   public static void recordExample(String model, long events, long reached) {
     long[] counts = COUNTS.computeIfAbsent(model, name -> new long[3]);
     counts[0]++;
@@ -26,7 +34,7 @@
     counts[2] += reached;
   }
 
-  /** Returns the counts so far as a line of key=value pairs. */
+  /** Returns the statistics of a model as a line of key=value pairs. */
   public static String summary(String model) {
     long[] counts = COUNTS.getOrDefault(model, new long[3]);
     return "fuzz="
@@ -39,12 +47,12 @@
         + counts[2];
   }
 
-  /** Returns the number of examples of a property. */
-  public static int exampleCount(int inCi) {
-    return inCi * Integer.getInteger("fuzz.factor", 1);
+  /** Returns the number of examples of a property, scaled by {@code fuzz.factor}. */
+  public static int exampleCount(int baseCount) {
+    return baseCount * Integer.getInteger("fuzz.factor", 1);
   }
 
-  /** Returns the seed. */
+  /** Returns the seed of the fuzz tests. */
   public static long seed() {
     return Long.getLong("fuzz.seed", DEFAULT_SEED);
   }
--- a/burdockbay-core/src/test/java/org/burdockbay/core/catalog/CatalogTest.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/catalog/CatalogTest.java
@@ -8,10 +8,10 @@
 import java.util.Set;
 import org.testng.annotations.Test;
 
-/** Checks and lookups of a {@link Catalog}. */
+/** Tests validation and lookups of a {@link Catalog}. */
 public class CatalogTest {
 
-  /** The longest prefix of the path wins, and host names have no case. */
+  /** Guards against matching a shorter prefix and against case-sensitive host names. */
   @Test
   public void findsQueueWithLongestPrefix() throws Exception {
     Catalog catalog =
@@ -23,7 +23,7 @@
     assertTrue(catalog.find("other.example", "/a/x").isEmpty());
   }
 
-  /** An operator's slip must not put half of a document in force; the message names the queue. */
+  /** Guards against putting a catalog with an invalid queue in force, in whole or in part. */
   @Test
   public void rejectsInvalidQueues() {
     assertRejected("names unknown service", List.of(queue("q", "/a/", 100)), Set.of("other"));
@@ -35,10 +35,10 @@
   }
 
   private static void assertRejected(
-      String complaint, List<QueueRule> queues, Set<String> services) {
-    CatalogException refusal =
+      String expectedMessage, List<QueueRule> queues, Set<String> services) {
+    CatalogException exception =
         expectThrows(CatalogException.class, () -> Catalog.of(1, queues, services));
-    assertTrue(refusal.getMessage().contains(complaint), refusal.getMessage());
+    assertTrue(exception.getMessage().contains(expectedMessage), exception.getMessage());
   }
 
   private static QueueRule queue(String name, String prefix, long timeout) {
--- a/burdockbay-core/src/test/java/org/burdockbay/core/catalog/LinkModel.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/catalog/LinkModel.java
@@ -29,10 +29,12 @@
     return host;
   }
 
+  /** Schedules an action at a simulated time, in milliseconds. */
   void schedule(double time, Runnable action) {
     events.add(new Event(time, ++lastNumber, action));
   }
 
+  /** Runs the scheduled events up to and including a simulated time, in milliseconds. */
   void runUntil(double end) {
     while (!events.isEmpty() && events.peek().at() <= end) {
       Event event = events.remove();
@@ -131,11 +133,10 @@
           from, 0, source -> source.handleRequest(this, new PeerMessage.FetchCatalogPart(request)));
     }
 
-    private void handleRequest(Host by, PeerMessage.FetchCatalogPart fetch) {
+    private void handleRequest(Host receiver, PeerMessage.FetchCatalogPart fetch) {
       source
-          .servePart("host-" + by.index, fetch.request(), (long) now)
-          .ifPresent(
-              part -> send(by, part.data().size(), receiver -> receiver.handlePart(this, part)));
+          .servePart("host-" + receiver.index, fetch.request(), (long) now)
+          .ifPresent(part -> send(receiver, part.data().size(), to -> to.handlePart(this, part)));
     }
 
     private void handlePart(Host from, CatalogPart part) {
--- a/burdockbay-core/src/test/java/org/burdockbay/core/configuration/DispatchConfigurationTest.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/configuration/DispatchConfigurationTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** Validation of the configuration document. */
+/** Tests parsing and validation of the configuration document. */
 public class DispatchConfigurationTest {
 
   private static final String VALID =
@@ -24,7 +24,7 @@
       """
           .formatted("0".repeat(64));
 
-  /** A document's values and fallbacks are those of the schema. */
+  /** Guards against values that are misread and missing keys without their default values. */
   @Test
   public void readsValuesAndDefaults() throws ConfigurationException {
     DispatchConfiguration configuration = DispatchConfiguration.parse("x.ini", 3, VALID);
@@ -35,7 +35,7 @@
     assertEquals(configuration.caller("hamburg").orElseThrow().services(), List.of("desk"));
   }
 
-  /** Every problem is reported at once, each with file, line and field. */
+  /** Guards against reporting only the first problem, or problems without file, line and field. */
   @Test
   public void reportsEveryProblemWithItsLine() {
     String text =
@@ -58,7 +58,7 @@
     assertTrue(e.getMessage().contains("a whole number from 1 to 1000000"), e.getMessage());
   }
 
-  /** A key or section given twice is an error, though the library would merge the two. */
+  /** Guards against duplicate keys and sections, which the INI library merges silently. */
   @Test
   public void rejectsDuplicateKeysAndSections() {
     String twice = VALID + "services = other\n[service desk]\n";
@@ -69,7 +69,7 @@
     assertTrue(e.getMessage().contains("x.ini:11: [service desk]"), e.getMessage());
   }
 
-  /** A reference to a service that doesn't exist names the line of the reference. */
+  /** Guards against references to undefined services, which must be reported with their line. */
   @Test
   public void rejectsUnknownReferences() {
     String text = VALID.replace("service = desk", "service = dsk");
--- a/burdockbay-core/src/test/java/org/burdockbay/core/control/ControlStateTest.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/control/ControlStateTest.java
@@ -4,12 +4,12 @@
 
 import org.testng.annotations.Test;
 
-/** Compare-and-set of the configuration. */
+/** Tests compare-and-set and history of the configuration. */
 public class ControlStateTest {
 
   /**
-   * Two operators edit the same version and apply at the same moment. Without compare-and-set the
-   * later one silently undoes the other's change; exactly one may win, and the other must hear it.
+   * Guards against a lost update: two operators apply changes based on the same version, and the
+   * later change silently replaces the earlier one instead of being rejected.
    */
   @Test
   public void rejectsSecondOfTwoConcurrentChanges() {
@@ -21,8 +21,8 @@
   }
 
   /**
-   * An operator's answer is lost, another operator changes the document, and the first resends. It
-   * must hear that its change was accepted, and must not put the old document back in force.
+   * Guards against a resent change that is rejected or reverts a newer one: the reply to a change
+   * is lost, another operator changes the document, and the first operator resends.
    */
   @Test
   public void repeatsReplyToResentChange() {
@@ -33,7 +33,7 @@
     assertEquals(state.configuration().orElseThrow().text(), "b");
   }
 
-  /** The history is bounded and the newest version always stays. */
+  /** Guards against unbounded growth of the history and against losing the newest version. */
   @Test
   public void limitsRetainedVersions() {
     ControlState state = new ControlState();
--- a/burdockbay-core/src/test/java/org/burdockbay/core/ledger/LedgerTest.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/ledger/LedgerTest.java
@@ -11,7 +11,7 @@
 import org.burdockbay.core.submission.SubmissionKey;
 import org.testng.annotations.Test;
 
-/** The ledger's answers to dispatchers that compete, crash and come back. */
+/** Tests the replies of the ledger to competing, fenced and restarted dispatchers. */
 public class LedgerTest {
 
   private static final SubmissionKey KEY = new SubmissionKey("clerk", "session-9");
@@ -19,8 +19,8 @@
   private final Ledger ledger = new Ledger();
 
   /**
-   * A clerk resubmits a booking at a host of another domain while the first is under way there. The
-   * second domain must learn where it runs instead of running it too.
+   * Guards against running a submission in two domains: a caller resubmits it to another domain
+   * while the first domain still runs it.
    */
   @Test
   public void opensKeyInOneDomainOnly() {
@@ -34,8 +34,9 @@
   }
 
   /**
-   * A dispatcher freezes, another takes over its domain, and the first comes back believing that it
-   * still has the role. Nothing it asks may take effect, and its successor gets all it left open.
+   * Guards against commands of a superseded dispatcher taking effect: it was paused, another one
+   * took over its domain, and it resumes with its old epoch. The successor must receive the roster
+   * and all open submissions.
    */
   @Test
   public void fencesEarlierEpochsAndHandsOverOpenSubmissions() {
@@ -55,7 +56,7 @@
     assertEquals(apply(ledger, "north", new LedgerRequest.Register(5)), fenced);
   }
 
-  /** A caller that was told "not run" may come back with the same key. */
+  /** Guards against a key that stays in use after the caller was told that nothing ran. */
   @Test
   public void releasesKeyClosedAsNotRun() {
     Ledger fresh = new Ledger();
@@ -67,7 +68,7 @@
         apply(fresh, "south", new LedgerRequest.Lookup(KEY, "digest")), new LedgerReply.Unknown());
   }
 
-  /** A key is not given to other content, closed or open. */
+  /** Guards against answering a submission with the state of one that has different content. */
   @Test
   public void rejectsReusedKeyWithDifferentContent() {
     Ledger fresh = new Ledger();
@@ -78,7 +79,7 @@
         new LedgerReply.ContentMismatch());
   }
 
-  /** Closed records leave after the retention; open ones never do. */
+  /** Guards against closed records that never expire and open records that do. */
   @Test
   public void expiresClosedRecordsAfterRetention() {
     Ledger fresh = new Ledger();
@@ -94,7 +95,7 @@
     assertEquals(fresh.size(), 1);
   }
 
-  /** A snapshot carries everything: a restored ledger answers as the original does. */
+  /** Guards against state that is missing from snapshots. */
   @Test
   public void restoresCompleteStateFromImage() {
     Ledger fresh = new Ledger();
