--- a/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/JobLifecycle.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/JobLifecycle.java
@@ -148,7 +148,7 @@
 
   /** Ends what is overdue and moves on what waited. */
   void tick() {
-    for (JobEntry job : jobs.removeOverdue(state.now)) {
+    for (JobEntry job : jobs.pollOverdue(state.now)) {
       deadlinePassed(job);
     }
     for (JobEntry job : List.copyOf(jobs.jobs())) {
--- a/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/JobTable.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/JobTable.java
@@ -52,7 +52,7 @@
   }
 
   /** Removes and returns the jobs whose deadline has passed; finished ones are not among them. */
-  List<JobEntry> removeOverdue(long now) {
+  List<JobEntry> pollOverdue(long now) {
     List<JobEntry> overdue = new ArrayList<>();
     while (!byDeadline.isEmpty() && byDeadline.peek().deadlineAt <= now) {
       JobEntry job = byDeadline.poll();
