--- a/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/AbandonedSubmissions.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/AbandonedSubmissions.java
@@ -10,9 +10,10 @@
 import org.burdockbay.core.submission.JobOutcome;
 
 /**
- * Closes what earlier epochs left open in the ledger and nobody asked for again.
+ * Closes submissions that earlier epochs left open in the ledger and that were not submitted again.
  *
- * <p>The ledger holds no payloads, so what didn't begin can't be started without its caller.
+ * <p>The ledger holds no payloads, so a task that never started can't be started without its
+ * caller.
  */
 final class AbandonedSubmissions {
 
@@ -39,21 +40,21 @@
       return;
     }
     nextCheckAt = state.now + CLOSE_RETRY_INTERVAL_MILLIS;
-    for (LedgerReply.OpenSubmission left : List.copyOf(recovery.openSubmissions().values())) {
-      if (jobs.find(left.key()) == null) {
-        JobOutcome outcome = deriveOutcome(left);
-        state.logEvent("job-abandoned", "job=" + left.key() + " outcome=" + outcome.code());
-        state.propose(new LedgerRequest.Close(state.epoch, left.key(), outcome));
+    for (LedgerReply.OpenSubmission submission : List.copyOf(recovery.openSubmissions().values())) {
+      if (jobs.find(submission.key()) == null) {
+        JobOutcome outcome = deriveOutcome(submission);
+        state.logEvent("job-abandoned", "job=" + submission.key() + " outcome=" + outcome.code());
+        state.propose(new LedgerRequest.Close(state.epoch, submission.key(), outcome));
       }
     }
   }
 
-  private JobOutcome deriveOutcome(LedgerReply.OpenSubmission left) {
+  private JobOutcome deriveOutcome(LedgerReply.OpenSubmission submission) {
     List<String> answers = new ArrayList<>();
     boolean anyFound = false;
-    for (int task = 0; task < left.tasks(); task++) {
+    for (int task = 0; task < submission.tasks(); task++) {
       Optional<DispatchRecovery.RecoveredAttempt> found =
-          recovery.find(left.key(), left.digest(), task);
+          recovery.find(submission.key(), submission.digest(), task);
       anyFound |= found.isPresent();
       if (found.isPresent()
           && found.get().status() instanceof AttemptStatus.Finished finished
@@ -61,7 +62,7 @@
         answers.add(succeeded.answer());
       }
     }
-    if (answers.size() == left.tasks()) {
+    if (answers.size() == submission.tasks()) {
       return new JobOutcome.Completed(answers);
     }
     if (!anyFound && recovery.isLossless()) {
--- a/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/AdmissionPolicy.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/AdmissionPolicy.java
@@ -9,10 +9,10 @@
 import org.burdockbay.core.submission.JobRequest;
 
 /**
- * Decides whether a job is taken or refused at once.
+ * Decides whether a job is admitted or refused immediately.
  *
- * <p>The predicted wait rests on measured run times and on the caller's fair share, so a caller
- * that floods the queue is refused for its own backlog and costs the others nothing.
+ * <p>The predicted wait is based on measured run times and on the caller's fair share, so a caller
+ * that floods the queue is refused because of its own backlog, without affecting other callers.
  */
 final class AdmissionPolicy {
 
@@ -28,7 +28,7 @@
     this.scheduler = scheduler;
   }
 
-  /** Returns the refusal of the job, or empty if it is taken. */
+  /** Returns the refusal of the job, or empty if it is admitted. */
   Optional<JobOutcome.Failed> refusal(JobRequest request, JobRule rule) {
     int tasks = request.tasks().size();
     CallerRule caller = state.configuration.caller(request.key().caller()).orElse(null);
@@ -45,11 +45,11 @@
     if (!state.pool.isServable(rule)) {
       return refuseUnservable(rule);
     }
-    int held = scheduler.tasksOf(caller.name());
-    if (held + tasks > caller.quota()) {
-      long wait = predictedWaitMillis(request, rule, caller.weight());
-      String detail = held + " of " + caller.quota() + " tasks of the quota are in use";
-      return refuse(ErrorKind.QUOTA_EXCEEDED, detail, retryAfterMillis(request, wait));
+    int usedQuota = scheduler.tasksOf(caller.name());
+    if (usedQuota + tasks > caller.quota()) {
+      long waitMillis = predictedWaitMillis(request, rule, caller.weight());
+      String detail = usedQuota + " of " + caller.quota() + " tasks of the quota are in use";
+      return refuse(ErrorKind.QUOTA_EXCEEDED, detail, retryAfterMillis(request, waitMillis));
     }
     return checkOverload(request, rule, caller);
   }
@@ -57,35 +57,35 @@
   /** Returns the predicted wait before the last task of the job starts, in milliseconds. */
   long predictedWaitMillis(JobRequest request, JobRule rule, int weight) {
     int slots = Math.max(1, state.pool.availableSlots(rule, state.now));
-    double ahead =
+    double queuedWorkMillis =
         scheduler.queue(rule).workAheadMillis(request.key().caller(), weight, rule.priority());
-    int beyondFree = request.tasks().size() - scheduler.spareSlots(rule);
-    double own = Math.max(0, beyondFree) * state.runTime(rule).expectedMillis();
-    return Math.round((ahead + own) / slots);
+    int tasksBeyondFreeSlots = request.tasks().size() - scheduler.spareSlots(rule);
+    double ownWorkMillis = Math.max(0, tasksBeyondFreeSlots) * state.runTime(rule).expectedMillis();
+    return Math.round((queuedWorkMillis + ownWorkMillis) / slots);
   }
 
   private Optional<JobOutcome.Failed> checkOverload(
       JobRequest request, JobRule rule, CallerRule caller) {
     ServiceRule service = state.configuration.services().get(rule.service());
-    long wait = predictedWaitMillis(request, rule, caller.weight());
+    long waitMillis = predictedWaitMillis(request, rule, caller.weight());
     if (service != null
         && scheduler.queue(rule).size() + request.tasks().size() > service.queueLimit()) {
       String detail = "the queue of service " + rule.service() + " is full";
-      return refuse(ErrorKind.OVERLOADED, detail, retryAfterMillis(request, wait));
+      return refuse(ErrorKind.OVERLOADED, detail, retryAfterMillis(request, waitMillis));
     }
-    double run = state.runTime(rule).expectedMillis();
-    if (wait + run > request.remainingMillis()) {
-      long predicted = Math.round(wait + run);
-      String detail = "the answer is predicted in " + predicted + " ms, after the deadline";
-      long excess = Math.round(wait + run - request.remainingMillis());
-      return refuse(ErrorKind.OVERLOADED, detail, retryAfterMillis(request, excess));
+    double runMillis = state.runTime(rule).expectedMillis();
+    if (waitMillis + runMillis > request.remainingMillis()) {
+      long predictedMillis = Math.round(waitMillis + runMillis);
+      String detail = "the answer is predicted in " + predictedMillis + " ms, after the deadline";
+      long excessMillis = Math.round(waitMillis + runMillis - request.remainingMillis());
+      return refuse(ErrorKind.OVERLOADED, detail, retryAfterMillis(request, excessMillis));
     }
     return Optional.empty();
   }
 
   private Optional<JobOutcome.Failed> refuseUnservable(JobRule rule) {
-    // A domain that has other runners but none for this job will not get one within a deadline;
-    // a domain without any runner may just be starting or be cut off from them.
+    // Where other runners exist, a matching one is not expected before the deadline. A domain
+    // without any runner may be starting or partitioned from its runners.
     if (state.pool.runners().isEmpty()) {
       return refuse(ErrorKind.OVERLOADED, "no runner is announced", MIN_RETRY_AFTER_MILLIS * 5);
     }
@@ -94,13 +94,13 @@
   }
 
   /**
-   * Returns when to come back: after the excess has drained, spread over half of that time again so
-   * that refused callers don't return all at once.
+   * Returns the delay before a retry, in milliseconds: the time until the excess has drained, plus
+   * a jitter of up to half of it, so that refused callers don't return all at once.
    */
   private static long retryAfterMillis(JobRequest request, long excessMillis) {
     long base = Math.max(MIN_RETRY_AFTER_MILLIS, excessMillis);
-    long spread = base * Math.floorMod(request.key().hashCode(), JITTER_STEPS) / (2 * JITTER_STEPS);
-    return Math.min(MAX_RETRY_AFTER_MILLIS, base + spread);
+    long jitter = base * Math.floorMod(request.key().hashCode(), JITTER_STEPS) / (2 * JITTER_STEPS);
+    return Math.min(MAX_RETRY_AFTER_MILLIS, base + jitter);
   }
 
   private static Optional<JobOutcome.Failed> refuse(
--- a/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/Arrival.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/Arrival.java
@@ -1,11 +1,11 @@
 package org.burdockbay.core.dispatch;
 
-/** How a job came to this dispatcher. */
+/** How a job reached a dispatcher. */
 public enum Arrival {
-  /** The entry host has sent it to no other dispatcher. */
+  /** The entry host has sent the job to no other dispatcher. */
   FIRST,
-  /** The entry host sent it to a dispatcher that it lost, so attempts of it may exist. */
+  /** The entry host sent the job to an earlier dispatcher, so attempts of it may exist. */
   RESENT,
-  /** The dispatcher of another failure domain passed it on; it isn't passed on again. */
+  /** The dispatcher of another failure domain redirected the job; it isn't redirected again. */
   REDIRECTED
 }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/AttemptEntry.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/AttemptEntry.java
@@ -3,16 +3,16 @@
 import org.burdockbay.core.submission.AttemptId;
 import org.jspecify.annotations.Nullable;
 
-/** An attempt that occupies a slot of a runner as far as the dispatcher knows. */
+/** An attempt that, as far as the dispatcher knows, occupies a slot of a runner. */
 final class AttemptEntry {
 
   final AttemptId id;
   final RunnerEntry runner;
 
-  /** The task that waits for the attempt; null where nobody does (an orphan or a loser). */
+  /** The task that waits for the attempt; null for an orphaned or cancelled attempt. */
   @Nullable TaskEntry task;
 
-  /** The service whose concurrency the attempt counts against; empty for an orphan. */
+  /** The service whose concurrency the attempt counts against; empty for an orphaned attempt. */
   String service = "";
 
   long startedAt;
--- a/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/DispatchEvent.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/DispatchEvent.java
@@ -13,10 +13,10 @@
 import org.burdockbay.core.submission.JobRequest;
 import org.burdockbay.core.submission.SubmissionKey;
 
-/** What the {@link Dispatcher} is told. */
+/** An event that the {@link Dispatcher} handles. */
 public sealed interface DispatchEvent {
 
-  /** A newer configuration is in force. */
+  /** A newer configuration took effect. */
   record ConfigurationChanged(DispatchConfiguration configuration) implements DispatchEvent {}
 
   /** This host became the dispatcher of its failure domain under the given epoch. */
@@ -26,18 +26,18 @@
   record EpochLost() implements DispatchEvent {}
 
   /**
-   * An entry host forwards a job, and waits for its outcome.
+   * An entry host forwarded a job and waits for its outcome.
    *
-   * @param origin the host that waits
+   * @param origin the waiting host
    * @param arrival whether the job may have reached a dispatcher before
    */
   record JobSubmitted(JobRequest request, String origin, Arrival arrival)
       implements DispatchEvent {}
 
-  /** An entry host asks for the outcome of a submission without its content. */
+  /** An entry host asked for the outcome of a submission without sending its content. */
   record JobFollowed(SubmissionKey key, String origin) implements DispatchEvent {}
 
-  /** A caller cancels a submission. */
+  /** A caller cancelled a submission. */
   record JobCancelled(SubmissionKey key, String origin) implements DispatchEvent {}
 
   /** A runner announced itself or renewed its lease. */
@@ -47,18 +47,22 @@
   record RunnerFenced(RunnerId runner, long epoch, List<AttemptReport> attempts)
       implements DispatchEvent {}
 
-  /** A start call ended. */
+  /** A call that starts an attempt ended. */
   record AttemptEnded(AttemptId attempt, RunnerId runner, AttemptOutcome outcome)
       implements DispatchEvent {}
 
-  /** A runner was asked about an attempt. */
+  /** A status query about an attempt ended. */
   record AttemptQueried(AttemptId attempt, RunnerId runner, AttemptStatus status)
       implements DispatchEvent {}
 
   /** The ledger answered a proposal of this dispatcher. */
   record LedgerAnswered(LedgerRequest request, LedgerReply reply) implements DispatchEvent {}
 
-  /** What the dispatchers of other failure domains last told of their load, by domain. */
+  /**
+   * The dispatchers of other failure domains reported their loads.
+   *
+   * @param loads the last reported load of each domain
+   */
   record DomainLoadsReported(Map<String, DomainLoad> loads) implements DispatchEvent {}
 
   /** Time passed. */
--- a/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/DispatchRecovery.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/DispatchRecovery.java
@@ -16,12 +16,13 @@
 import org.burdockbay.core.submission.SubmissionKey;
 
 /**
- * Rebuilds at a new dispatcher what earlier ones had running.
+ * Recovers the attempts that earlier dispatchers started.
  *
- * <p>Every runner is first fenced: it accepts the new epoch, refuses starts of earlier ones from
- * then on, and lists its attempts. Once all runners that may hold attempts are fenced or written
- * off, an attempt that is on no list either never began and never will, or ran on a runner that was
- * written off; {@link #isComplete()} and {@link #isLossless()} tell the two apart.
+ * <p>A new dispatcher first fences every runner: the runner accepts the new epoch, rejects starts
+ * under earlier epochs from then on, and lists its attempts. Once all runners that may hold
+ * attempts are fenced or written off, an attempt that is on no list either never started and never
+ * will, or ran on a runner that was written off; {@link #isComplete()} and {@link #isLossless()}
+ * distinguish the two cases.
  */
 final class DispatchRecovery {
 
@@ -45,7 +46,7 @@
     this.state = state;
   }
 
-  /** Begins a new epoch. */
+  /** Discards the state of the previous epoch and fences all known runners under the new one. */
   void startEpoch() {
     attemptsByKey.clear();
     openSubmissions.clear();
@@ -63,10 +64,10 @@
     }
   }
 
-  /** Takes what the ledger knows of the earlier epochs. */
+  /** Records the roster and the open submissions of earlier epochs, as the ledger returned them. */
   void ledgerRegistered(LedgerReply.Registered reply) {
     registered = true;
-    // Runners may have been fenced while the ledger was still being asked.
+    // Runners may have been fenced before the ledger answered.
     reply.roster().stream().filter(id -> !isFenced(id)).forEach(unfencedRoster::add);
     reply.open().forEach(submission -> openSubmissions.put(submission.key(), submission));
   }
@@ -80,7 +81,7 @@
     state.emit(new DispatchEffect.FenceRunner(runner.id, runner.address(), state.epoch));
   }
 
-  /** Takes the inventory of a runner that accepted the epoch. */
+  /** Records the attempts of a runner that accepted the epoch. */
   void runnerFenced(RunnerEntry runner, List<AttemptReport> attempts) {
     runner.fenced = true;
     unfencedRoster.remove(runner.id);
@@ -96,7 +97,7 @@
     }
   }
 
-  /** Fences again where no answer came, and ends the rebuild when nothing is outstanding. */
+  /** Repeats unanswered fence requests, and ends the rebuild when none is outstanding. */
   void tick() {
     boolean outstanding = false;
     for (RunnerEntry runner : state.pool.runners()) {
@@ -107,10 +108,10 @@
         }
       }
     }
-    // A process that has just started hasn't heard of every runner yet, and one that it doesn't
-    // know may hold attempts; each runner announces itself within a second.
-    boolean settled = state.now - state.startedAt >= RUNNER_DISCOVERY_MILLIS;
-    if (rebuilding && !outstanding && settled) {
+    // A process that has just started may not have received the announcements of all runners yet,
+    // and an unknown runner may hold attempts. Each runner announces itself within a second.
+    boolean discoveryEnded = state.now - state.startedAt >= RUNNER_DISCOVERY_MILLIS;
+    if (rebuilding && !outstanding && discoveryEnded) {
       rebuilding = false;
       state.logEvent("rebuild-complete", "epoch=" + state.epoch + " found=" + attemptsByKey.size());
     }
@@ -122,17 +123,20 @@
     }
   }
 
-  /** Returns whether resent work has to wait because running attempts aren't all known yet. */
+  /** Returns whether resent jobs must wait because the running attempts aren't all known yet. */
   boolean isRebuilding() {
     return rebuilding;
   }
 
-  /** Returns whether every runner that may hold a guarded attempt is fenced or written off. */
+  /**
+   * Returns whether every runner that may hold an attempt of an at-most-once job is fenced or
+   * written off.
+   */
   boolean isComplete() {
     return registered && rosterComplete && !rebuilding;
   }
 
-  /** Returns whether none of them had to be written off. */
+  /** Returns whether no runner had to be written off. */
   boolean isLossless() {
     return lossless;
   }
@@ -142,36 +146,40 @@
     return openSubmissions;
   }
 
-  /** Returns whether earlier epochs opened the submission and didn't close it. */
+  /** Returns whether an earlier epoch opened the submission and didn't close it. */
   boolean wasOpenedEarlier(SubmissionKey key) {
     return openSubmissions.containsKey(key);
   }
 
-  /** Returns what the runners told of a task; a success goes before a running attempt. */
+  /**
+   * Returns the recovered attempt of a task; a successful attempt takes precedence over a running
+   * one.
+   */
   Optional<RecoveredAttempt> find(SubmissionKey key, String digest, int task) {
-    String content = AttemptId.contentTagOf(digest);
+    String contentTag = AttemptId.contentTagOf(digest);
     RecoveredAttempt best = null;
     for (RecoveredAttempt candidate : attemptsByKey.getOrDefault(key, Map.of()).values()) {
-      boolean match = candidate.id().task() == task && candidate.id().contentTag().equals(content);
-      if (match && (best == null || candidate.takesPrecedenceOver(best))) {
+      boolean matches =
+          candidate.id().task() == task && candidate.id().contentTag().equals(contentTag);
+      if (matches && (best == null || candidate.takesPrecedenceOver(best))) {
         best = candidate;
       }
     }
     return Optional.ofNullable(best);
   }
 
-  /** Returns whether runners know the key with other content. */
+  /** Returns whether runners reported attempts of the key with other content. */
   boolean hasOtherContent(SubmissionKey key, String digest) {
-    String content = AttemptId.contentTagOf(digest);
+    String contentTag = AttemptId.contentTagOf(digest);
     return attemptsByKey.getOrDefault(key, Map.of()).keySet().stream()
-        .anyMatch(id -> !id.contentTag().equals(content));
+        .anyMatch(id -> !id.contentTag().equals(contentTag));
   }
 
   /**
-   * Keeps how an attempt ended that no job has taken over yet.
+   * Records the outcome of an attempt that no job has taken over yet.
    *
-   * <p>The job may arrive after its attempt ended. Without the result it would look as if the
-   * runner had been lost, and the task would start again.
+   * <p>The job may arrive after its attempt ended. Without the outcome, the runner would appear to
+   * be lost and the task would start again.
    */
   void attemptEnded(AttemptId attempt, AttemptOutcome outcome) {
     boolean ran =
@@ -180,13 +188,13 @@
     if (ran && attempts != null) {
       attempts.computeIfPresent(
           attempt,
-          (id, before) ->
+          (id, previous) ->
               new RecoveredAttempt(
-                  before.runner(), new AttemptStatus.Finished(outcome), before.id()));
+                  previous.runner(), new AttemptStatus.Finished(outcome), previous.id()));
     }
   }
 
-  /** Forgets a submission that was settled. */
+  /** Discards the state of a settled submission. */
   void removeSettled(SubmissionKey key) {
     attemptsByKey.remove(key);
     openSubmissions.remove(key);
@@ -197,8 +205,8 @@
   }
 
   private void writeOffRunners() {
-    boolean late = state.now - startedAt >= ROSTER_FENCE_TIMEOUT_MILLIS;
-    if (late && !unfencedRoster.isEmpty()) {
+    boolean timedOut = state.now - startedAt >= ROSTER_FENCE_TIMEOUT_MILLIS;
+    if (timedOut && !unfencedRoster.isEmpty()) {
       lossless = false;
       state.logEvent(
           "runners-written-off", "count=" + unfencedRoster.size() + " runners=" + unfencedRoster);
@@ -209,7 +217,7 @@
     }
   }
 
-  /** What a runner told of an attempt. */
+  /** An attempt of an earlier epoch with the status that its runner reported. */
   record RecoveredAttempt(RunnerEntry runner, AttemptStatus status, AttemptId id) {
 
     boolean takesPrecedenceOver(RecoveredAttempt other) {
--- a/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/DispatchSnapshot.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/DispatchSnapshot.java
@@ -5,12 +5,13 @@
  *
  * @param epoch its epoch, or 0 while it is passive
  * @param runners runners with a lease
- * @param ejectedRunners runners that get no work for a while because they failed
- * @param slots slots that take work
+ * @param ejectedRunners runners that are excluded for a time because they failed
+ * @param slots slots of the available runners
  * @param runningTasks attempts that occupy a slot
  * @param waitingTasks tasks in the queue
  * @param unfinishedJobs jobs without an outcome
- * @param guarding whether the ledger accepts this dispatcher, so that guarded jobs are taken
+ * @param guarding whether the dispatcher is registered at the ledger, so that at-most-once jobs can
+ *     run
  */
 public record DispatchSnapshot(
     long epoch,
@@ -22,7 +23,7 @@
     int unfinishedJobs,
     boolean guarding) {
 
-  /** Starts a snapshot. */
+  /** Returns a builder of a snapshot. */
   public static Builder builder() {
     return new Builder();
   }
@@ -59,7 +60,7 @@
       return this;
     }
 
-    /** Sets the slots that take work. */
+    /** Sets the number of slots of the available runners. */
     public Builder slots(int value) {
       slots = value;
       return this;
@@ -83,7 +84,7 @@
       return this;
     }
 
-    /** Sets whether guarded jobs are taken. */
+    /** Sets whether at-most-once jobs can run. */
     public Builder guarding(boolean value) {
       guarding = value;
       return this;
--- a/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/DispatchState.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/DispatchState.java
@@ -9,7 +9,7 @@
 import org.burdockbay.core.submission.JobOutcome;
 import org.burdockbay.core.submission.SubmissionKey;
 
-/** What the parts of one {@link Dispatcher} share; used by the control thread only. */
+/** State that the parts of one {@link Dispatcher} share; confined to the control thread. */
 final class DispatchState {
 
   final String domain;
@@ -19,13 +19,16 @@
   DispatchConfiguration configuration = DispatchConfiguration.EMPTY;
   Map<String, DomainLoad> otherDomainLoads = Map.of();
 
-  /** The epoch under which this host dispatches; 0 while another host does. */
+  /** The epoch under which this host dispatches; 0 while it is passive. */
   long epoch;
 
-  /** Since when the set of failure domains, and with it the home of every key, is the same. */
+  /**
+   * Time since which the set of failure domains, and with it the home domain of every key, is
+   * unchanged.
+   */
   long homeDomainsStableSince;
 
-  /** When the process began to hear announcements. */
+  /** Time at which the process began to receive announcements. */
   long startedAt;
 
   long now;
--- a/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/Dispatcher.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/Dispatcher.java
@@ -12,11 +12,12 @@
  * The dispatcher of one failure domain as a pure state machine.
  *
  * <p>One host of the domain holds the role at a time, under an epoch that the runners enforce: a
- * runner that has accepted an epoch refuses starts of lower ones, so a dispatcher that was frozen
- * and comes back can't start anything. All other hosts of the domain feed the same announcements to
- * their own instance, which stays passive until {@link DispatchEvent.EpochGranted}.
+ * runner that has accepted an epoch rejects starts under lower ones, so a dispatcher that resumes
+ * after a process pause can't start anything. All other hosts of the domain feed the same
+ * announcements to their own instances, which stay passive until {@link
+ * DispatchEvent.EpochGranted}.
  *
- * <p>Not safe for use by several threads; the control thread owns it.
+ * <p>Not thread-safe; confined to the control thread.
  */
 public final class Dispatcher {
 
@@ -39,7 +40,7 @@
     this.jobs = new JobLifecycle(state, StateChart.load(Dispatcher.class, "job.chart"), recovery);
   }
 
-  /** Handles one event at the given time in milliseconds and returns what is to be done. */
+  /** Handles an event at the given time in milliseconds and returns the resulting effects. */
   public List<DispatchEffect> handle(DispatchEvent event, long now) {
     state.now = Math.max(state.now, now);
     state.startedAt = state.startedAt == 0 ? state.now : state.startedAt;
@@ -63,12 +64,12 @@
     return state.takeEffects();
   }
 
-  /** Returns the epoch under which this host dispatches, or 0 while it doesn't. */
+  /** Returns the epoch under which this host dispatches, or 0 while it is passive. */
   public long epoch() {
     return state.epoch;
   }
 
-  /** Returns the load for other failure domains to weigh. */
+  /** Returns the load that is reported to other failure domains. */
   public DomainLoad load() {
     int free = Math.max(0, state.pool.freeSlots(state.now) - jobs.scheduler().waitingTasks());
     return new DomainLoad(free, jobs.scheduler().predictedWaitMillis());
@@ -102,11 +103,13 @@
       case DispatchEvent.RunnerFenced inventoried -> runnerFenced(inventoried);
       case DispatchEvent.AttemptEnded ended ->
           jobs.scheduler().attemptEnded(ended.attempt(), ended.runner(), ended.outcome());
-      case DispatchEvent.AttemptQueried asked ->
-          jobs.scheduler().attemptQueried(asked.attempt(), asked.runner(), asked.status());
+      case DispatchEvent.AttemptQueried queried ->
+          jobs.scheduler().attemptQueried(queried.attempt(), queried.runner(), queried.status());
       case DispatchEvent.LedgerAnswered answered -> ledgerAnswered(answered);
       case DispatchEvent.Tick tick -> tick();
-      default -> throw new IllegalStateException("not for a dispatcher: " + event);
+      default ->
+          throw new IllegalStateException(
+              "event can't be handled by an active dispatcher: " + event);
     }
     if (state.isDispatching()) {
       jobs.scheduler().startWaitingTasks();
@@ -206,7 +209,7 @@
           jobs.ledgerAnswered(close, answered.reply());
       case LedgerRequest.Lookup lookup -> jobs.ledgerAnswered(lookup, answered.reply());
       default -> {
-        // An answer to an earlier epoch of this host, or to a removal, changes nothing.
+        // An answer to a removal or to an earlier epoch of this host needs no action.
       }
     }
   }
@@ -241,21 +244,23 @@
   }
 
   /**
-   * Takes lost runners off the roster once no guarded job is open that may have run there.
+   * Removes lost runners from the roster once every at-most-once job that may have run on them is
+   * closed.
    *
-   * <p>Earlier, a dispatcher that takes over would find the open job and a roster without the lost
-   * runner, conclude that the job never began, and start it a second time.
+   * <p>If they were removed earlier, a dispatcher that takes over would find the open job and a
+   * roster without the lost runner, conclude that the job never started, and start it a second
+   * time.
    */
   private void removeLostRunners() {
     lostRunners
         .entrySet()
         .removeIf(
             entry -> {
-              boolean settled = jobs.areAtMostOnceJobsClosed(entry.getValue());
-              if (settled) {
+              boolean closed = jobs.areAtMostOnceJobsClosed(entry.getValue());
+              if (closed) {
                 state.propose(new LedgerRequest.RemoveRunner(state.epoch, entry.getKey()));
               }
-              return settled;
+              return closed;
             });
   }
 
--- a/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/FairQueue.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/FairQueue.java
@@ -8,11 +8,12 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Waiting tasks: priority class first, then weighted fairness among callers, then deadline.
+ * A queue of waiting tasks, ordered by priority class, then by weighted fairness among callers,
+ * then by deadline.
  *
  * <p>Fairness is start-time fair queueing (Goyal, Vin and Cheng 1996) with the expected run time as
- * the cost. A task that was cancelled stays in its heap and is skipped when it comes up, so a
- * cancellation costs constant time.
+ * the cost. A cancelled task stays in its heap and is skipped when it reaches the head, so a
+ * cancellation takes constant time.
  */
 final class FairQueue {
 
@@ -26,14 +27,14 @@
 
   void add(TaskEntry task, int weight) {
     task.state = TaskEntry.State.QUEUED;
-    PriorityClass level =
+    PriorityClass priorityClass =
         classes.computeIfAbsent(task.job.rule.priority(), priority -> new PriorityClass());
-    level.add(task, weight);
+    priorityClass.add(task, weight);
     queuedWorkMillis += task.expectedMillis;
     size++;
   }
 
-  /** Forgets a waiting task; its place in the heap is skipped later. */
+  /** Cancels a waiting task; its entry in the heap is skipped later. */
   void cancel(TaskEntry task) {
     if (task.state == TaskEntry.State.QUEUED) {
       task.state = TaskEntry.State.ENDED;
@@ -41,10 +42,10 @@
     }
   }
 
-  /** Returns the task that goes next, without removing it, or null if none waits. */
+  /** Returns the next task without removing it, or null if no task is waiting. */
   @Nullable TaskEntry peek() {
-    for (PriorityClass level : classes.values()) {
-      Flow flow = level.nextFlow();
+    for (PriorityClass priorityClass : classes.values()) {
+      Flow flow = priorityClass.nextFlow();
       if (flow != null) {
         return flow.heap.peek();
       }
@@ -54,9 +55,9 @@
 
   /** Removes the task that {@link #peek} returned. */
   void remove(TaskEntry task) {
-    PriorityClass level = classes.get(task.job.rule.priority());
-    if (level != null) {
-      level.remove(task);
+    PriorityClass priorityClass = classes.get(task.job.rule.priority());
+    if (priorityClass != null) {
+      priorityClass.remove(task);
     }
     recordRemoval(task);
   }
@@ -65,18 +66,20 @@
     return size;
   }
 
-  /** Returns the work that goes before a new task of the caller, in milliseconds of one slot. */
+  /**
+   * Returns the work that is served before a new task of the caller, in milliseconds of one slot.
+   */
   double workAheadMillis(String caller, int weight, int priority) {
-    double more = 0.0;
+    double higherClasses = 0.0;
     double ownClass = 0.0;
     for (Map.Entry<Integer, PriorityClass> entry : classes.headMap(priority, true).entrySet()) {
       if (entry.getKey() < priority) {
-        more += entry.getValue().workMillis();
+        higherClasses += entry.getValue().workMillis();
       } else {
         ownClass = entry.getValue().workAheadMillis(caller, weight);
       }
     }
-    return more + ownClass;
+    return higherClasses + ownClass;
   }
 
   double queuedWorkMillis() {
@@ -86,13 +89,13 @@
   private void recordRemoval(TaskEntry task) {
     queuedWorkMillis = Math.max(0.0, queuedWorkMillis - task.expectedMillis);
     size--;
-    PriorityClass level = classes.get(task.job.rule.priority());
-    if (level != null) {
-      level.recordRemoval(task);
+    PriorityClass priorityClass = classes.get(task.job.rule.priority());
+    if (priorityClass != null) {
+      priorityClass.recordRemoval(task);
     }
   }
 
-  /** The callers that wait in one priority class. */
+  /** The flows of the callers in one priority class. */
   private static final class PriorityClass {
 
     private final Map<String, Flow> flows = new HashMap<>();
@@ -142,8 +145,9 @@
     }
 
     /**
-     * Returns the work served before the caller's next task: its own backlog, and of each other
-     * caller no more than fairness gives it in the same time.
+     * Returns the work that is served before the caller's next task, in milliseconds of one slot:
+     * the caller's own backlog, and from each other caller at most its fair share over the same
+     * time.
      */
     double workAheadMillis(String caller, int weight) {
       Flow own = flows.get(caller);
--- a/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/JobEntry.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/JobEntry.java
@@ -10,7 +10,7 @@
 import org.burdockbay.core.submission.JobRequest;
 import org.jspecify.annotations.Nullable;
 
-/** One job at the dispatcher; its state is that of {@code job.chart}. */
+/** A job at the dispatcher; its state is a state of {@code job.chart}. */
 final class JobEntry {
 
   final JobRequest request;
@@ -27,7 +27,7 @@
   /** Whether an earlier dispatcher may have started tasks of the job. */
   boolean mayHaveStarted;
 
-  /** Whether the ledger granted the intent to run. */
+  /** Whether the ledger has recorded the intent to run. */
   boolean intentGranted;
 
   boolean cancelled;
@@ -49,7 +49,7 @@
     }
   }
 
-  /** Returns whether the ledger guards the job: it must run at most once. */
+  /** Returns whether the job must run at most once, which the ledger ensures. */
   boolean isAtMostOnce() {
     return !rule.idempotent();
   }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/JobLifecycle.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/JobLifecycle.java
@@ -16,8 +16,8 @@
 import org.burdockbay.core.submission.SubmissionKey;
 
 /**
- * Takes a job through {@code job.chart}: dedupe, admission, the ledger for jobs that must run at
- * most once, collection of the answers, and one report.
+ * Drives jobs through {@code job.chart}: deduplication, admission, the ledger records of
+ * at-most-once jobs, collection of the answers, and one report of the outcome.
  */
 final class JobLifecycle implements TaskListener {
 
@@ -56,7 +56,7 @@
     return (int) jobs.jobs().stream().filter(job -> job.outcome == null).count();
   }
 
-  /** Returns whether every guarded job that arrived until the given time is closed. */
+  /** Returns whether every at-most-once job that arrived up to the given time is closed. */
   boolean areAtMostOnceJobsClosed(long time) {
     return recovery.openSubmissions().isEmpty()
         && jobs.jobs().stream()
@@ -69,7 +69,7 @@
     abandoned.epochGranted();
   }
 
-  /** Gives every unfinished job back to the hosts that wait for it. */
+  /** Returns every unfinished job to the hosts that wait for it. */
   void epochLost() {
     for (JobEntry job : jobs.jobs()) {
       if (!job.reported) {
@@ -82,7 +82,7 @@
     scheduler.clear();
   }
 
-  /** Takes a job, or joins the one that runs under its key. */
+  /** Accepts a job, or joins the existing one with the same key. */
   void submit(DispatchEvent.JobSubmitted event) {
     JobRequest request = event.request();
     JobEntry known = jobs.find(request.key());
@@ -102,8 +102,9 @@
       return;
     }
     jobs.add(job);
-    // The ledger knows whether a guarded job ran before. For other jobs the runners know it, so
-    // while they are still being asked, a job that may have reached an earlier dispatcher waits.
+    // The ledger records whether an at-most-once job ran before. For other jobs only the runners
+    // know, so a job that may have reached an earlier dispatcher waits until they have been
+    // queried.
     job.mayHaveStarted = request.keyed() || event.arrival() == Arrival.RESENT;
     if (mustHold(job)) {
       transition(job, "hold");
@@ -112,7 +113,7 @@
     }
   }
 
-  /** Adds a waiter to a known submission, or tells that it is unknown here. */
+  /** Adds a waiting host to a known submission, or looks up an unknown one. */
   void follow(DispatchEvent.JobFollowed event) {
     JobEntry known = jobs.find(event.key());
     if (known == null) {
@@ -122,7 +123,7 @@
     }
   }
 
-  /** Ends a job at its caller's wish. */
+  /** Cancels a known job, or looks up an unknown one. */
   void cancel(DispatchEvent.JobCancelled event) {
     JobEntry job = jobs.find(event.key());
     if (job == null) {
@@ -136,17 +137,19 @@
     }
   }
 
-  /** Handles the ledger's answer about one submission. */
+  /** Handles the ledger's answer to a request that concerns a submission. */
   void ledgerAnswered(LedgerRequest request, LedgerReply reply) {
     switch (request) {
       case LedgerRequest.Open open -> openAnswered(open, reply);
       case LedgerRequest.Lookup lookup -> lookupAnswered(lookup, reply);
       case LedgerRequest.Close close -> closeAnswered(close, reply);
-      default -> throw new IllegalArgumentException("not about a submission: " + request);
+      default ->
+          throw new IllegalArgumentException(
+              "ledger request doesn't concern a submission: " + request);
     }
   }
 
-  /** Ends what is overdue and moves on what waited. */
+  /** Ends overdue jobs and advances waiting ones. */
   void tick() {
     for (JobEntry job : jobs.pollOverdue(state.now)) {
       deadlinePassed(job);
@@ -204,7 +207,8 @@
   private void join(JobEntry known, DispatchEvent.JobSubmitted event) {
     if (!known.request.digest().equals(event.request().digest())) {
       if (known.isInState("held") || known.isInState("opening") || known.isInState("checking")) {
-        // The ledger hasn't said yet to which content the id belongs; the host asks again.
+        // The ledger hasn't decided yet to which content the id belongs; the host sends the job
+        // again.
         state.emit(new DispatchEffect.ReturnJob(event.origin(), event.request().key()));
         return;
       }
@@ -221,7 +225,7 @@
     addWaitingHost(known, event.origin());
   }
 
-  /** Returns whether the job was refused without a start, so that the same key may run now. */
+  /** Returns whether the job was refused before it started, so that the same key may run now. */
   private static boolean isRetryable(JobEntry job) {
     return job.isInState("done")
         && job.outcome instanceof JobOutcome.Failed failed
@@ -238,13 +242,13 @@
 
   private boolean mustHold(JobEntry job) {
     if (job.isAtMostOnce()) {
-      // Right after the takeover the ledger hasn't answered yet; that is no reason to refuse.
+      // Right after a takeover the ledger may not have answered yet, which is no reason to refuse.
       return !recovery.isRegistered() && state.now - epochStartedAt < REGISTRATION_TIMEOUT_MILLIS;
     }
     return job.mayHaveStarted && recovery.isRebuilding();
   }
 
-  /** Sends the job to another failure domain if its answer comes sooner from there. */
+  /** Redirects the job to another failure domain if an answer is expected sooner from there. */
   private boolean spillToOtherDomain(JobEntry job, DispatchEvent.JobSubmitted event) {
     if (event.arrival() != Arrival.FIRST || recovery.isRebuilding()) {
       return false;
@@ -278,11 +282,11 @@
   }
 
   /**
-   * Returns the refusal with a kind that promises no more than is known.
+   * Returns the refusal with a kind that promises no more than is certain.
    *
-   * <p>An idempotent job with a submission id may have run in another failure domain, or on a
-   * runner that is gone, if domains came or went while its key could still be in use. Only after a
-   * quiet time as long as the retention does this dispatcher's memory cover every earlier
+   * <p>If failure domains came or went while its key could still be in use, an idempotent job with
+   * a submission id may have run in another domain, or on a runner that is gone. Only after a quiet
+   * period as long as the retention does the state of this dispatcher cover every earlier
    * submission.
    */
   private JobOutcome.Failed withCertainPromise(JobEntry job, JobOutcome.Failed refusal) {
@@ -298,10 +302,10 @@
   }
 
   /**
-   * Refuses a guarded job once the ledger says that it never ran.
+   * Refuses an at-most-once job once the ledger confirms that it never ran.
    *
    * <p>A resubmission may reach an overloaded domain after the first submission ran in another one.
-   * Refusing it as not run from what this host knows would be a lie, so the ledger is asked.
+   * The state of this host isn't sufficient to report the job as not run, so the ledger is queried.
    */
   private void refuseAtMostOnce(JobEntry job, JobOutcome.Failed refusal) {
     if (!job.mayHaveStarted) {
@@ -332,7 +336,8 @@
     }
     switch (reply) {
       case LedgerReply.Granted granted -> {
-        // Granted also for what an earlier epoch opened; then the runners must be asked first.
+        // Also granted if an earlier epoch opened the submission; then the runners must be queried
+        // first.
         job.intentGranted = true;
         if (!recovery.wasOpenedEarlier(open.key()) || recovery.isComplete()) {
           admit(job);
@@ -362,7 +367,8 @@
     switch (reply) {
       case LedgerReply.Closed closed -> finish(job, closed.outcome());
       case LedgerReply.OpenElsewhere elsewhere when elsewhere.domain().equals(state.domain) -> {
-        // Opened here by an earlier epoch: it is not new work, so admission has no say.
+        // An earlier epoch of this domain opened the submission: it is not new work and skips
+        // admission.
         job.state = "received";
         openInLedger(job);
       }
@@ -392,7 +398,7 @@
     }
   }
 
-  /** Puts the tasks to work, after what earlier dispatchers started is taken over. */
+  /** Enqueues the tasks of the job, after taking over attempts that earlier dispatchers started. */
   private void admit(JobEntry job) {
     SubmissionKey key = job.request.key();
     final boolean recovered = recovery.wasOpenedEarlier(key);
@@ -412,7 +418,8 @@
       if (found.isPresent()) {
         takeOver(task, found.get());
       } else if (recovered && !recovery.isLossless()) {
-        // A runner that may have run the task is gone, so nobody can tell whether it began.
+        // A runner that may have run the task was written off, so it is unknown whether the task
+        // started.
         taskFailed(task, ErrorKind.OUTCOME_UNKNOWN, "its runner was lost with its dispatcher");
       } else {
         scheduler.enqueue(task);
@@ -463,14 +470,18 @@
     state.propose(new LedgerRequest.Close(state.epoch, job.request.key(), outcome));
   }
 
-  /** Reports an outcome whose record is late, and proposes it again. */
+  /**
+   * Reports an outcome whose record the ledger hasn't confirmed in time, and proposes the record
+   * again.
+   */
   private void retryClose(JobEntry job) {
     JobOutcome outcome = job.outcome;
     if (outcome == null) {
       return;
     }
-    // The caller needs the answer now. Until the record is durable it rests on the runners'
-    // memory; if that is lost too, a resubmission hears "outcome unknown", never a second run.
+    // The caller gets the answer before the record is durable. Until then the outcome exists only
+    // in the runners' memory; if that is lost too, a resubmission gets "outcome unknown" and never
+    // a second run.
     if (!job.reported
         && state.now >= job.nextCloseAt - CLOSE_RETRY_INTERVAL_MILLIS + CLOSE_TIMEOUT_MILLIS) {
       reportAll(job, outcome);
@@ -507,7 +518,10 @@
         host -> state.emit(new DispatchEffect.RedirectJob(host, job.request.key(), domain)));
   }
 
-  /** Ends a job whose outcome must not be kept under its key. */
+  /**
+   * Reports the outcome of a job and removes the job, as the outcome must not be retained for its
+   * key.
+   */
   private void reportAndRemove(JobEntry job, JobOutcome outcome) {
     jobs.remove(job);
     reportAll(job, outcome);
@@ -545,7 +559,12 @@
     Optional<String> next = chart.nextState(job.state, event);
     if (next.isEmpty()) {
       throw new IllegalStateException(
-          "job " + job.request.key() + " has no " + event + " in state " + job.state);
+          "job "
+              + job.request.key()
+              + " has no transition for event "
+              + event
+              + " in state "
+              + job.state);
     }
     job.state = next.get();
   }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/JobTable.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/JobTable.java
@@ -12,11 +12,12 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The jobs of the dispatcher by submission: unfinished ones, and finished ones for as long as they
- * are kept for resubmissions.
+ * Holds the jobs of the dispatcher by submission: unfinished ones, and finished ones while they are
+ * retained for resubmissions.
  *
- * <p>Kept answers are bounded by time and by size; past the size the oldest go first, so a caller
- * with huge answers shortens the time for which answers are kept and can't exhaust the memory.
+ * <p>Retained answers are bounded by time and by total size. Above the size limit the oldest are
+ * evicted first, so a caller with very large answers shortens the retention and can't exhaust the
+ * memory.
  */
 final class JobTable {
 
@@ -51,7 +52,7 @@
     return jobs.values();
   }
 
-  /** Removes and returns the jobs whose deadline has passed; finished ones are not among them. */
+  /** Returns the unfinished jobs whose deadline has passed, each of them once. */
   List<JobEntry> pollOverdue(long now) {
     List<JobEntry> overdue = new ArrayList<>();
     while (!byDeadline.isEmpty() && byDeadline.peek().deadlineAt <= now) {
@@ -63,7 +64,7 @@
     return overdue;
   }
 
-  /** Forgets finished jobs that were kept long enough, or that no longer fit. */
+  /** Removes finished jobs whose retention has ended or that exceed the size limit. */
   void expire(long now, long retentionMillis) {
     while (!byFinishTime.isEmpty()
         && (byFinishTime.peek().finishedAt + retentionMillis <= now
--- a/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/RatioBudget.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/RatioBudget.java
@@ -1,10 +1,10 @@
 package org.burdockbay.core.dispatch;
 
 /**
- * A budget that grows with useful work and is spent on extra work.
+ * A budget that limits extra work to a ratio of the regular work.
  *
- * <p>A count of retries for each request multiplies the load when everything fails at once. A ratio
- * of the first attempts bounds the extra load whatever fails (the retry budget of Finagle).
+ * <p>A fixed number of retries per request multiplies the load when everything fails at once. A
+ * ratio of the first attempts bounds the extra load in all cases (the retry budget of Finagle).
  */
 final class RatioBudget {
 
--- a/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/RecentSuccesses.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/RecentSuccesses.java
@@ -4,10 +4,11 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Where a kind of job succeeded lately.
+ * Tracks the runners on which a kind of job succeeded recently.
  *
- * <p>A kind of job that succeeds nowhere says nothing about a runner on which it fails; blaming
- * runners for it would empty the pool. Two runners are kept, so that one is always another one.
+ * <p>If a kind of job succeeds on no runner, its failure doesn't indicate a faulty runner, and
+ * ejecting runners for it would empty the pool. Two runners are tracked, so that for each runner
+ * there is another one to compare with.
  */
 final class RecentSuccesses {
 
@@ -28,14 +29,14 @@
   }
 
   boolean hasSucceededElsewhere(RunnerId runner, long now) {
-    boolean byLast =
+    boolean latestMatches =
         latestRunner != null
             && !runner.equals(latestRunner)
             && now - latestSuccessAt <= SUCCESS_RETENTION_MILLIS;
-    boolean byOther =
+    boolean previousMatches =
         previousRunner != null
             && !runner.equals(previousRunner)
             && now - previousSuccessAt <= SUCCESS_RETENTION_MILLIS;
-    return byLast || byOther;
+    return latestMatches || previousMatches;
   }
 }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/RunTimeEstimator.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/RunTimeEstimator.java
@@ -1,11 +1,11 @@
 package org.burdockbay.core.dispatch;
 
 /**
- * Run times of one kind of job, as measured.
+ * Estimates the run times of one kind of job from measurements.
  *
- * <p>Declared run times are often far off, so they count only until enough tasks were measured. The
- * histogram has geometric buckets and halves itself, so it follows a change of the load within some
- * thousand tasks in constant memory.
+ * <p>Declared run times are often inaccurate, so they are used only until enough tasks were
+ * measured. The histogram has geometric buckets and its counts are halved periodically, so it
+ * follows a change of the load within a few thousand tasks in constant memory.
  */
 final class RunTimeEstimator {
 
@@ -47,7 +47,10 @@
     return hasEnoughSamples() ? meanMillis : declaredMillis;
   }
 
-  /** Returns the upper bound of the bucket that holds the quantile, in milliseconds. */
+  /**
+   * Returns the upper bound of the bucket that contains the quantile, in milliseconds, or the
+   * declared run time if there are no samples.
+   */
   double quantileMillis(double quantile) {
     long rank = (long) Math.ceil(quantile * total);
     long seen = 0;
--- a/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/RunnerEntry.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/RunnerEntry.java
@@ -9,7 +9,7 @@
 import org.burdockbay.core.submission.AttemptId;
 import org.burdockbay.core.submission.SubmissionKey;
 
-/** One run of an upstream at the dispatcher: its lease, its slots and its health. */
+/** An instance of a runner at the dispatcher, with its lease, its slots and its health. */
 final class RunnerEntry {
 
   private static final int FAILURES_TO_EJECT = 3;
@@ -22,10 +22,10 @@
   RunnerAnnouncement announcement;
   long lastAnnouncedAt;
 
-  /** Set once the runner obeys the epoch and has listed its attempts. */
+  /** Set once the runner has accepted the epoch and listed its attempts. */
   boolean fenced;
 
-  /** Set once the ledger lists the runner, so that guarded tasks may start on it. */
+  /** Set once the ledger lists the runner, so that at-most-once tasks may start on it. */
   boolean inRoster;
 
   boolean rosterAdditionPending;
@@ -66,7 +66,8 @@
   }
 
   /**
-   * Notes a success: the runner is healthy, and its limit rises by one slot after some successes.
+   * Records a success: the runner is healthy, and its concurrency limit rises by one slot after
+   * several successes.
    */
   void recordSuccess() {
     failedJobs.clear();
@@ -81,18 +82,18 @@
   }
 
   /**
-   * Notes a failure and returns whether the runner should be ejected.
+   * Records a failure and returns whether the runner should be ejected.
    *
-   * <p>A runner that fails everything at once looks idle and attracts all work. It shows by
-   * failures of several submissions in a row without a success; one bad job that fails on every
-   * runner counts once for each runner and so ejects none.
+   * <p>A runner that fails every task immediately appears idle and attracts all work. It is
+   * detected by failures of several submissions in a row without a success. A faulty job that fails
+   * on every runner counts once for each runner and so ejects none.
    */
   boolean recordFailure(SubmissionKey key) {
     failedJobs.add(key);
     return probing || failedJobs.size() >= FAILURES_TO_EJECT;
   }
 
-  /** Takes a failure back that turned out to be the job's own. */
+  /** Retracts a failure that was caused by the job itself. */
   void retractFailure(SubmissionKey key) {
     failedJobs.remove(key);
   }
@@ -105,7 +106,10 @@
     failedJobs.clear();
   }
 
-  /** Notes that the runner refused for want of a slot: its limit falls to what it now runs. */
+  /**
+   * Records a rejection: the concurrency limit drops to the number of running attempts, and the
+   * runner gets no work during the pause.
+   */
   void recordRejection(long now, long pauseMillis) {
     concurrencyLimit = Math.max(1, Math.min(concurrencyLimit, attempts.size()));
     successesAtLimit = 0;
--- a/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/RunnerPool.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/RunnerPool.java
@@ -11,23 +11,23 @@
 import org.burdockbay.core.runner.RunnerId;
 import org.jspecify.annotations.Nullable;
 
-/** The upstreams of the failure domain and the choice among them. */
+/** Holds the runners of the failure domain and selects among them. */
 final class RunnerPool {
 
-  /** Lease of an announcement, in milliseconds: three renewals at one a second. */
+  /** Lease of an announcement, in milliseconds: three renewals at intervals of one second. */
   static final long LEASE_MILLIS = 3_000;
 
   private final Map<String, RunnerEntry> byName = new LinkedHashMap<>();
 
   /**
-   * Takes an announcement.
+   * Records an announcement.
    *
-   * @return the entry that the announcement replaced, because its process restarted
+   * @return the entry that the announcement replaced because its process restarted
    */
   Optional<RunnerEntry> announce(RunnerAnnouncement announcement, long now) {
     RunnerEntry known = byName.get(announcement.id().name());
     if (known != null && known.id.incarnation() > announcement.id().incarnation()) {
-      // A late renewal of an earlier run would otherwise bring the dead process back.
+      // A delayed renewal of an earlier instance would otherwise restore the terminated process.
       return Optional.empty();
     }
     if (known != null && known.id.equals(announcement.id())) {
@@ -48,7 +48,7 @@
     return byName.values();
   }
 
-  /** Removes and returns the runners whose lease has run out. */
+  /** Removes and returns the runners whose lease has expired. */
   List<RunnerEntry> expire(long now) {
     List<RunnerEntry> expired = new ArrayList<>();
     byName.values().removeIf(entry -> hasExpired(entry, now) && expired.add(entry));
@@ -62,14 +62,14 @@
   /**
    * Returns the runner for a task, or null if none has a free slot for it.
    *
-   * <p>Every free slot starts the task at once, so the choice is the runner with the fewest tasks;
-   * that also spreads the loss when one dies. A runner on which the task failed before is taken
-   * only where no other could ever serve the task.
+   * <p>A task starts immediately on every free slot, so the runner with the lowest load is
+   * selected, which also limits the number of tasks that are lost with one runner. A runner on
+   * which the task failed before is selected only if no other available runner serves the task.
    */
   @Nullable RunnerEntry select(TaskEntry task, @Nullable RunnerEntry avoided, long now) {
     RunnerEntry best = null;
     boolean untriedExists = false;
-    RunnerEntry bestTried = null;
+    RunnerEntry bestRetried = null;
     for (RunnerEntry entry : byName.values()) {
       if (!canServe(entry, task.job.rule) || !entry.isAvailable(now) || entry.equals(avoided)) {
         continue;
@@ -80,20 +80,20 @@
         continue;
       }
       if (tried) {
-        bestTried = lessLoaded(bestTried, entry);
+        bestRetried = lessLoaded(bestRetried, entry);
       } else {
         best = lessLoaded(best, entry);
       }
     }
-    return best != null || untriedExists ? best : bestTried;
+    return best != null || untriedExists ? best : bestRetried;
   }
 
-  /** Returns whether any runner, busy or not, could serve the kind of job. */
+  /** Returns whether any runner, busy or idle, serves the kind of job. */
   boolean isServable(JobRule rule) {
     return byName.values().stream().anyMatch(entry -> canServe(entry, rule));
   }
 
-  /** Returns the slots of the runners that serve the kind of job and take work. */
+  /** Returns the number of slots of the available runners that serve the kind of job. */
   int availableSlots(JobRule rule, long now) {
     int slots = 0;
     for (RunnerEntry entry : byName.values()) {
@@ -136,9 +136,9 @@
   }
 
   private static boolean mayStart(RunnerEntry entry, TaskEntry task) {
-    // A runner on probation may fail what it gets, so it gets only what may run again.
-    boolean fit = task.job.isAtMostOnce() ? entry.inRoster && !entry.probing : true;
-    return fit && entry.freeSlots() > 0;
+    // A runner on probation may fail its tasks, so it gets only tasks that may run again.
+    boolean eligible = task.job.isAtMostOnce() ? entry.inRoster && !entry.probing : true;
+    return eligible && entry.freeSlots() > 0;
   }
 
   private static RunnerEntry lessLoaded(@Nullable RunnerEntry current, RunnerEntry candidate) {
--- a/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/SpillPolicy.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/SpillPolicy.java
@@ -4,10 +4,12 @@
 import java.util.Optional;
 
 /**
- * Decides whether a job goes to another failure domain because its answer comes sooner from there.
+ * Decides whether a job is redirected to another failure domain because an answer is expected
+ * sooner from there.
  *
- * <p>Keyed idempotent jobs stay: the memory of their home domain's dispatcher is what deduplicates
- * them. For guarded jobs the ledger does, and jobs without an id can't come again.
+ * <p>Keyed idempotent jobs stay, because the state of the dispatcher in their home domain
+ * deduplicates them. At-most-once jobs are deduplicated by the ledger, and jobs without an id can't
+ * be resubmitted.
  */
 final class SpillPolicy {
 
@@ -25,13 +27,14 @@
     if (!job.isAtMostOnce() && job.request.keyed()) {
       return Optional.empty();
     }
-    long waitHere = admission.predictedWaitMillis(job.request, job.rule, 1);
+    long localWaitMillis = admission.predictedWaitMillis(job.request, job.rule, 1);
     boolean servable = state.pool.isServable(job.rule);
     return state.otherDomainLoads.entrySet().stream()
         .filter(other -> other.getValue().freeSlots() > job.tasks.size())
         .filter(
             other ->
-                !servable || waitHere > other.getValue().waitMillis() + MIN_WAIT_ADVANTAGE_MILLIS)
+                !servable
+                    || localWaitMillis > other.getValue().waitMillis() + MIN_WAIT_ADVANTAGE_MILLIS)
         .map(Map.Entry::getKey)
         .findFirst();
   }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/SubmissionLookups.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/SubmissionLookups.java
@@ -10,8 +10,8 @@
 import org.burdockbay.core.submission.SubmissionKey;
 
 /**
- * Hosts that follow or cancel a submission which this dispatcher doesn't have; the ledger says
- * where it is.
+ * Looks up in the ledger the submissions that hosts follow or cancel and that this dispatcher
+ * doesn't hold.
  */
 final class SubmissionLookups {
 
@@ -29,9 +29,9 @@
       report(host, key, notFound(key));
       return;
     }
-    boolean asked = hostsByKey.containsKey(key);
+    boolean lookupPending = hostsByKey.containsKey(key);
     hostsByKey.computeIfAbsent(key, unknown -> new LinkedHashSet<>()).add(host);
-    if (!asked) {
+    if (!lookupPending) {
       state.propose(new LedgerRequest.Lookup(key, LedgerRequest.ANY_DIGEST));
     }
   }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/TaskEntry.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/TaskEntry.java
@@ -8,10 +8,10 @@
 import org.burdockbay.core.submission.AttemptId;
 import org.jspecify.annotations.Nullable;
 
-/** One task of a job at the dispatcher. */
+/** A task of a job at the dispatcher. */
 final class TaskEntry {
 
-  /** Where the task is. */
+  /** The state of a task. */
   enum State {
     IDLE,
     QUEUED,
--- a/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/TaskListener.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/TaskListener.java
@@ -4,18 +4,18 @@
 import org.burdockbay.core.runner.AttemptOutcome;
 import org.burdockbay.core.submission.AttemptId;
 
-/** Told by the {@link TaskScheduler} how tasks end. */
+/** Receives the results of tasks from the {@link TaskScheduler}. */
 interface TaskListener {
 
-  /** A task answered. */
+  /** Called when a task has succeeded. */
   void taskSucceeded(TaskEntry task, String answer);
 
-  /** A task failed for good. */
+  /** Called when a task has failed and won't be retried. */
   void taskFailed(TaskEntry task, ErrorKind kind, String detail);
 
-  /** An attempt of an earlier dispatcher, which no task has taken over yet, ended. */
+  /** Called when an attempt of an earlier dispatcher ended that no task has taken over yet. */
   void orphanEnded(AttemptId attempt, AttemptOutcome outcome);
 
-  /** A runner refused this dispatcher's epoch. */
+  /** Called when a runner rejected the epoch of this dispatcher. */
   void epochSuperseded(long higherEpoch);
 }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/TaskScheduler.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/TaskScheduler.java
@@ -16,8 +16,8 @@
 import org.burdockbay.core.submission.SubmissionKey;
 
 /**
- * Starts waiting tasks on free slots, and decides what follows when an attempt ends, is refused,
- * straggles or goes silent.
+ * Starts waiting tasks on free slots, and handles attempts that end, are rejected, straggle or
+ * become silent.
  */
 final class TaskScheduler {
 
@@ -48,7 +48,7 @@
     return queues.computeIfAbsent(QueueKey.of(rule), key -> new FairQueue());
   }
 
-  /** Returns the tasks, waiting and running, that the caller has here. */
+  /** Returns the number of waiting and running tasks of the caller. */
   int tasksOf(String caller) {
     return tasksByCaller.getOrDefault(caller, 0);
   }
@@ -59,11 +59,12 @@
 
   /** Returns the predicted wait of a task that arrives now, in milliseconds. */
   long predictedWaitMillis() {
-    double work = queues.values().stream().mapToDouble(FairQueue::queuedWorkMillis).sum();
-    return Math.round(work / Math.max(1, state.pool.totalSlots(state.now)));
+    double queuedWorkMillis =
+        queues.values().stream().mapToDouble(FairQueue::queuedWorkMillis).sum();
+    return Math.round(queuedWorkMillis / Math.max(1, state.pool.totalSlots(state.now)));
   }
 
-  /** Returns free slots for the kind of job that no waiting task will take. */
+  /** Returns the number of free slots that no waiting task of the job's queue will take. */
   int spareSlots(JobRule rule) {
     return Math.max(0, state.pool.freeSlots(state.now) - queue(rule).size());
   }
@@ -78,14 +79,14 @@
     tasksByCaller.merge(job.request.key().caller(), job.tasks.size(), Integer::sum);
   }
 
-  /** Puts a task into the queue. */
+  /** Adds a task to its queue. */
   void enqueue(TaskEntry task) {
     task.sequence = ++sequence;
     task.expectedMillis = state.runTime(task.job.rule).expectedMillis();
     queue(task.job.rule).add(task, weight(task));
   }
 
-  /** Ends a task: it leaves the queue, and its attempts are stopped. */
+  /** Ends a task: removes it from the queue and cancels its attempts. */
   void endTask(TaskEntry task) {
     if (task.state == TaskEntry.State.ENDED && task.attempts.isEmpty()) {
       return;
@@ -118,19 +119,19 @@
     }
   }
 
-  /** Handles the end of a start call. */
+  /** Handles the end of a call that starts an attempt. */
   void attemptEnded(AttemptId id, RunnerId runnerId, AttemptOutcome outcome) {
     RunnerEntry runner = state.pool.find(runnerId).orElse(null);
     AttemptEntry attempt = runner == null ? null : runner.attempts.get(id);
     if (attempt == null) {
-      // Late or crossed: the attempt was settled by other means, or its runner is gone.
+      // The attempt was settled by other means, or its runner is gone.
       state.logEvent("attempt-late", "attempt=" + id + " runner=" + runnerId);
       return;
     }
     handleOutcome(attempt, outcome);
   }
 
-  /** Handles what a runner said of an attempt. */
+  /** Handles the status of an attempt as reported by its runner. */
   void attemptQueried(AttemptId id, RunnerId runnerId, AttemptStatus status) {
     RunnerEntry runner = state.pool.find(runnerId).orElse(null);
     AttemptEntry attempt = runner == null ? null : runner.attempts.get(id);
@@ -149,7 +150,7 @@
     }
   }
 
-  /** Binds an attempt that an earlier dispatcher started to its task. */
+  /** Assigns an attempt that an earlier dispatcher started to its task. */
   void adopt(TaskEntry task, AttemptEntry attempt) {
     attempt.task = task;
     attempt.service = task.job.rule.service();
@@ -160,7 +161,7 @@
     runningByService.merge(task.job.rule.service(), 1, Integer::sum);
   }
 
-  /** Settles the attempts of a runner that is gone: its lease ran out or its process restarted. */
+  /** Settles the attempts of a runner whose lease expired or whose process restarted. */
   void runnerLost(RunnerEntry runner) {
     for (AttemptEntry attempt : List.copyOf(runner.attempts.values())) {
       TaskEntry task = attempt.task;
@@ -177,7 +178,7 @@
     }
   }
 
-  /** Asks after silent attempts, starts hedges and sends the collected cancellations. */
+  /** Queries silent attempts, starts hedges and sends the collected cancellations. */
   void tick() {
     for (RunnerEntry runner : state.pool.runners()) {
       for (AttemptEntry attempt : List.copyOf(runner.attempts.values())) {
@@ -195,7 +196,7 @@
     cancellations.clear();
   }
 
-  /** Forgets all tasks and attempts; the next dispatcher rebuilds them from the runners. */
+  /** Discards all tasks and attempts; the next dispatcher recovers them from the runners. */
   void clear() {
     queues.clear();
     tasksByCaller.clear();
@@ -252,8 +253,8 @@
         listener.epochSuperseded(fenced.epoch());
       }
       case AttemptOutcome.Uncertain uncertain -> {
-        // The connection broke or went silent. Running the task again could double it, so the
-        // runner is asked over a new connection.
+        // The connection broke or became silent. Starting the task again could run it twice, so the
+        // runner is queried over a new connection.
         state.logEvent(
             "attempt-uncertain", "attempt=" + attempt.id + " reason=" + uncertain.reason());
         queryAttempt(attempt);
@@ -280,11 +281,14 @@
     }
   }
 
-  /** Ejects a runner that fails everything, unless too many are ejected already. */
+  /**
+   * Records the failure of a task, and ejects the runner if it fails everything, unless too many
+   * runners are ejected already.
+   */
   private void recordFailure(RunnerEntry runner, TaskEntry task) {
     SubmissionKey key = task.job.request.key();
     if (!task.failedOn.isEmpty()) {
-      // The task failed on another runner too, so the job is to blame and not the runners.
+      // The task failed on another runner too, so the failures are attributed to the job.
       task.failedOn.forEach(
           id -> state.pool.find(id).ifPresent(other -> other.retractFailure(key)));
       return;
@@ -316,7 +320,7 @@
     }
   }
 
-  /** Starts the task again if its rule and its caller's budget allow it. */
+  /** Retries the task if its rule and its caller's retry budget allow it. */
   private void retry(TaskEntry task, String reason) {
     boolean allowed = task.retriesMade < task.job.rule.retries();
     if (allowed && retryBudget(task).tryWithdraw()) {
@@ -331,8 +335,8 @@
   /**
    * Starts a second attempt of a straggler.
    *
-   * <p>Only idempotent tasks, only on a slot that nobody waits for, only past a measured quantile,
-   * and within a budget, so that hedging can't add load when everything is slow.
+   * <p>Only idempotent tasks are hedged, only on a slot that no task waits for, only beyond a
+   * measured quantile, and within a budget, so that hedging can't add load when everything is slow.
    */
   private void hedge(AttemptEntry attempt) {
     TaskEntry task = attempt.task;
@@ -368,8 +372,9 @@
 
   private long firstQueryDelayMillis(JobRule rule) {
     RunTimeEstimator runTime = state.runTime(rule);
-    double usual = runTime.hasEnoughSamples() ? runTime.quantileMillis(0.99) : rule.runTimeMillis();
-    return Math.max(QUERY_INTERVAL_MILLIS, Math.round(2 * usual));
+    double usualMillis =
+        runTime.hasEnoughSamples() ? runTime.quantileMillis(0.99) : rule.runTimeMillis();
+    return Math.max(QUERY_INTERVAL_MILLIS, Math.round(2 * usualMillis));
   }
 
   private void cancelAttempt(AttemptEntry attempt) {
@@ -410,7 +415,10 @@
         .orElse(1);
   }
 
-  /** The runners that can serve a kind of job share a queue. */
+  /**
+   * Identifies a queue: jobs with the same service and labels are served by the same runners and
+   * share a queue.
+   */
   private record QueueKey(String service, List<String> labels) {
 
     static QueueKey of(JobRule rule) {
--- a/burdockbay-core/src/main/java/org/burdockbay/core/entry/EntryEffect.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/entry/EntryEffect.java
@@ -5,7 +5,7 @@
 import org.burdockbay.core.submission.JobRequest;
 import org.burdockbay.core.submission.SubmissionKey;
 
-/** What the {@link EntryGateway} wants done. */
+/** An action that the {@link EntryGateway} requests. */
 public sealed interface EntryEffect {
 
   /** Sends a job to a dispatcher. */
--- a/burdockbay-core/src/main/java/org/burdockbay/core/entry/EntryEvent.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/entry/EntryEvent.java
@@ -5,42 +5,47 @@
 import org.burdockbay.core.submission.JobRequest;
 import org.burdockbay.core.submission.SubmissionKey;
 
-/** What the {@link EntryGateway} is told; a ticket stands for one waiting request of a caller. */
+/**
+ * An event that the {@link EntryGateway} handles; a ticket identifies one waiting request of a
+ * caller.
+ */
 public sealed interface EntryEvent {
 
   /**
-   * A caller submits a job.
+   * A caller submitted a job.
    *
-   * @param atMostOnce whether the ledger guards the job, so that any domain may take it
+   * @param atMostOnce whether the job must run at most once; the ledger then deduplicates it, so
+   *     that any domain may run it
    */
   record Submitted(long ticket, JobRequest request, boolean atMostOnce) implements EntryEvent {}
 
-  /** A caller asks for the outcome of a submission. */
+  /** A caller asked for the outcome of a submission. */
   record Followed(long ticket, SubmissionKey key, long waitMillis) implements EntryEvent {}
 
-  /** A caller cancels a submission. */
+  /** A caller cancelled a submission. */
   record Cancelled(long ticket, SubmissionKey key, long waitMillis) implements EntryEvent {}
 
-  /** A caller no longer waits. */
+  /** A caller stopped waiting. */
   record Abandoned(long ticket) implements EntryEvent {}
 
   /**
-   * A dispatcher reports the outcome of a job.
+   * A dispatcher reported the outcome of a job.
    *
-   * @param digest digest of the content that the outcome is for; empty where only the key was asked
+   * @param digest digest of the content that the outcome belongs to; empty if only the key was
+   *     queried
    */
   record Reported(SubmissionKey key, String digest, JobOutcome outcome) implements EntryEvent {}
 
-  /** A dispatcher names the failure domain that has the submission. */
+  /** A dispatcher redirected the submission to another failure domain. */
   record Redirected(SubmissionKey key, String domain) implements EntryEvent {}
 
-  /** A host gave the job back because it no longer dispatches. */
+  /** A host returned the job because it no longer dispatches. */
   record Returned(SubmissionKey key, String host) implements EntryEvent {}
 
-  /** The connection to a host was lost, so messages to and from it may be lost. */
+  /** The connection to a host was lost, possibly with messages in both directions. */
   record PeerReset(String host) implements EntryEvent {}
 
-  /** Who dispatches where has changed. */
+  /** The dispatchers of the failure domains changed. */
   record RoutesChanged(RouteView routes) implements EntryEvent {}
 
   /** Time passed. */
--- a/burdockbay-core/src/main/java/org/burdockbay/core/entry/EntryGateway.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/entry/EntryGateway.java
@@ -16,9 +16,9 @@
 /**
  * Routes submissions to dispatchers and answers each waiting caller once.
  *
- * <p>The gateway keeps a job until its outcome is known, and sends it again when the dispatcher
- * changed or a connection was lost. That is safe because the receiving dispatcher deduplicates: an
- * idempotent job by its key's home domain, a guarded one by the ledger.
+ * <p>The gateway keeps a job until its outcome is known, and sends it again after a change of the
+ * dispatcher or the loss of a connection. This is safe because the receiving dispatcher
+ * deduplicates: an idempotent job by the home domain of its key, an at-most-once job by the ledger.
  */
 public final class EntryGateway {
 
@@ -29,7 +29,7 @@
   private static final long RETRY_AFTER_MILLIS = 1_000;
   private static final int MAX_REDIRECTS = 8;
 
-  /** A time that isn't reached, with room to add to it. */
+  /** A time that isn't reached; half of the maximum, so that adding to it can't overflow. */
   private static final long NEVER = Long.MAX_VALUE / 2;
 
   private final Map<PendingKey, PendingSubmission> pending = new HashMap<>();
@@ -38,14 +38,14 @@
   private RouteView routes;
   private long now;
 
-  /** Creates a gateway that knows no dispatcher yet. */
+  /** Creates a gateway without any routes. */
   public EntryGateway(String domain) {
     this.routes = RouteView.empty(domain);
   }
 
-  /** Handles one event at the given time in milliseconds and returns what is to be done. */
-  public List<EntryEffect> handle(EntryEvent event, long time) {
-    now = Math.max(now, time);
+  /** Handles an event at the given time in milliseconds and returns the resulting effects. */
+  public List<EntryEffect> handle(EntryEvent event, long timeMillis) {
+    now = Math.max(now, timeMillis);
     switch (event) {
       case EntryEvent.Submitted submitted -> submit(submitted);
       case EntryEvent.Followed followed ->
@@ -80,12 +80,12 @@
 
   private void submit(EntryEvent.Submitted event) {
     JobRequest request = event.request();
-    // Other content under the same id is another entry: which of the two the id belongs to is for
-    // the dispatcher and the ledger to say.
+    // The same id with other content is a separate entry: the dispatcher and the ledger decide
+    // which content the id belongs to.
     PendingKey pendingKey = PendingKey.forSubmission(request.key(), request.digest());
-    PendingSubmission known = pending.get(pendingKey);
-    if (known != null) {
-      addTicket(known, pendingKey, event.ticket(), now + request.remainingMillis());
+    PendingSubmission submission = pending.get(pendingKey);
+    if (submission != null) {
+      addTicket(submission, pendingKey, event.ticket(), now + request.remainingMillis());
       return;
     }
     PendingSubmission added =
@@ -104,21 +104,21 @@
   private void query(
       PendingSubmission.Purpose purpose, long ticket, SubmissionKey key, long waitMillis) {
     PendingKey pendingKey = PendingKey.forQuery(key, purpose);
-    PendingSubmission known = pending.get(pendingKey);
-    if (known == null) {
-      known = new PendingSubmission(key, purpose, null, false, now, NEVER);
-      // The submission may be known here; its dispatcher is then the one to ask.
-      known.domain =
+    PendingSubmission submission = pending.get(pendingKey);
+    if (submission == null) {
+      submission = new PendingSubmission(key, purpose, null, false, now, NEVER);
+      // If the submission is pending here, its domain is the one to query.
+      submission.domain =
           pendingFor(key).stream()
               .filter(other -> other.domain != null)
               .map(other -> other.domain)
               .findFirst()
               .orElse(null);
-      pending.put(pendingKey, known);
-      addTicket(known, pendingKey, ticket, now + waitMillis);
-      route(known);
+      pending.put(pendingKey, submission);
+      addTicket(submission, pendingKey, ticket, now + waitMillis);
+      route(submission);
     } else {
-      addTicket(known, pendingKey, ticket, now + waitMillis);
+      addTicket(submission, pendingKey, ticket, now + waitMillis);
     }
   }
 
@@ -129,20 +129,20 @@
 
   private void abandon(long ticket) {
     PendingKey key = keyByTicket.remove(ticket);
-    PendingSubmission known = key == null ? null : pending.get(key);
-    if (known != null) {
-      known.tickets.remove(ticket);
-      if (known.tickets.isEmpty() && known.purpose != PendingSubmission.Purpose.SUBMIT) {
+    PendingSubmission submission = key == null ? null : pending.get(key);
+    if (submission != null) {
+      submission.tickets.remove(ticket);
+      if (submission.tickets.isEmpty() && submission.purpose != PendingSubmission.Purpose.SUBMIT) {
         pending.remove(key);
       }
     }
   }
 
   /**
-   * Completes those who wait for this content, and those who follow the key.
+   * Completes the requests that wait for this content, and those that follow or cancel the key.
    *
    * <p>The same id may be in use with other content at another host. Matching by the key alone
-   * would give one caller's request the answer to the other content.
+   * would answer a request with the outcome of other content.
    */
   private void outcomeReported(EntryEvent.Reported event) {
     complete(PendingKey.forSubmission(event.key(), event.digest()), event.outcome());
@@ -167,72 +167,73 @@
   }
 
   private void jobRedirected(EntryEvent.Redirected event) {
-    for (PendingSubmission known : pendingFor(event.key())) {
-      known.redirects++;
-      if (known.redirects > MAX_REDIRECTS) {
-        known.nextSendAt = now + RETRY_AFTER_MILLIS;
+    for (PendingSubmission submission : pendingFor(event.key())) {
+      submission.redirects++;
+      if (submission.redirects > MAX_REDIRECTS) {
+        submission.nextSendAt = now + RETRY_AFTER_MILLIS;
         continue;
       }
-      known.domain = event.domain();
-      known.arrival = known.arrival == Arrival.RESENT ? Arrival.RESENT : Arrival.REDIRECTED;
-      known.sentTo = null;
-      known.unroutedSince = now;
-      route(known);
+      submission.domain = event.domain();
+      submission.arrival =
+          submission.arrival == Arrival.RESENT ? Arrival.RESENT : Arrival.REDIRECTED;
+      submission.sentTo = null;
+      submission.unroutedSince = now;
+      route(submission);
     }
   }
 
   private void jobReturned(EntryEvent.Returned event) {
-    for (PendingSubmission known : pendingFor(event.key())) {
-      if (known.sentTo != null && known.sentTo.host().equals(event.host())) {
-        known.arrival = Arrival.RESENT;
-        known.sentTo = null;
-        known.unroutedSince = now;
-        known.nextSendAt = now + RESEND_INTERVAL_MILLIS;
+    for (PendingSubmission submission : pendingFor(event.key())) {
+      if (submission.sentTo != null && submission.sentTo.host().equals(event.host())) {
+        submission.arrival = Arrival.RESENT;
+        submission.sentTo = null;
+        submission.unroutedSince = now;
+        submission.nextSendAt = now + RESEND_INTERVAL_MILLIS;
       }
     }
   }
 
   private void resend(String host) {
-    for (PendingSubmission known : List.copyOf(pending.values())) {
-      if (known.sentTo != null && known.sentTo.host().equals(host)) {
-        send(known, known.sentTo);
+    for (PendingSubmission submission : List.copyOf(pending.values())) {
+      if (submission.sentTo != null && submission.sentTo.host().equals(host)) {
+        send(submission, submission.sentTo);
       }
     }
   }
 
   private void routesChanged(RouteView changed) {
     routes = changed;
-    for (PendingSubmission known : List.copyOf(pending.values())) {
-      if (known.sentTo != null && known.domain != null) {
-        Optional<RouteView.ActiveDispatcher> current = routes.dispatcher(known.domain);
-        if (current.isEmpty() || current.get().epoch() != known.sentTo.epoch()) {
-          known.sentTo = null;
-          known.arrival = Arrival.RESENT;
-          known.unroutedSince = now;
+    for (PendingSubmission submission : List.copyOf(pending.values())) {
+      if (submission.sentTo != null && submission.domain != null) {
+        Optional<RouteView.ActiveDispatcher> current = routes.dispatcher(submission.domain);
+        if (current.isEmpty() || current.get().epoch() != submission.sentTo.epoch()) {
+          submission.sentTo = null;
+          submission.arrival = Arrival.RESENT;
+          submission.unroutedSince = now;
         }
       }
-      if (known.sentTo == null && now >= known.nextSendAt) {
-        route(known);
+      if (submission.sentTo == null && now >= submission.nextSendAt) {
+        route(submission);
       }
     }
   }
 
   private void tick() {
-    for (PendingSubmission known : List.copyOf(pending.values())) {
-      expireTickets(known);
-      if (now >= known.deadlineAt + DEADLINE_GRACE_MILLIS) {
-        complete(PendingKey.of(known), deadlineOutcome(known));
-      } else if (known.sentTo == null && now >= known.nextSendAt) {
-        route(known);
+    for (PendingSubmission submission : List.copyOf(pending.values())) {
+      expireTickets(submission);
+      if (now >= submission.deadlineAt + DEADLINE_GRACE_MILLIS) {
+        complete(PendingKey.of(submission), deadlineOutcome(submission));
+      } else if (submission.sentTo == null && now >= submission.nextSendAt) {
+        route(submission);
       }
     }
   }
 
-  private void expireTickets(PendingSubmission known) {
-    if (known.purpose == PendingSubmission.Purpose.SUBMIT) {
+  private void expireTickets(PendingSubmission submission) {
+    if (submission.purpose == PendingSubmission.Purpose.SUBMIT) {
       return;
     }
-    Iterator<Map.Entry<Long, Long>> tickets = known.tickets.entrySet().iterator();
+    Iterator<Map.Entry<Long, Long>> tickets = submission.tickets.entrySet().iterator();
     while (tickets.hasNext()) {
       Map.Entry<Long, Long> ticket = tickets.next();
       if (now >= ticket.getValue()) {
@@ -240,94 +241,101 @@
         keyByTicket.remove(ticket.getKey());
         String detail = "the submission is not finished";
         answer(
-            ticket.getKey(), known.key, failed(ErrorKind.UNAVAILABLE, detail, RETRY_AFTER_MILLIS));
+            ticket.getKey(),
+            submission.key,
+            failed(ErrorKind.UNAVAILABLE, detail, RETRY_AFTER_MILLIS));
       }
     }
-    if (known.tickets.isEmpty()) {
-      pending.remove(PendingKey.of(known));
+    if (submission.tickets.isEmpty()) {
+      pending.remove(PendingKey.of(submission));
     }
   }
 
-  /** Sends the submission to the dispatcher of its domain, or gives it up where there is none. */
-  private void route(PendingSubmission known) {
-    if (known.domain == null) {
-      known.domain = chooseDomain(known).orElse(null);
+  /**
+   * Sends the submission to the dispatcher of its domain, or completes it after a timeout if there
+   * is none.
+   */
+  private void route(PendingSubmission submission) {
+    if (submission.domain == null) {
+      submission.domain = chooseDomain(submission).orElse(null);
     }
     Optional<RouteView.ActiveDispatcher> target =
-        known.domain == null ? Optional.empty() : routes.dispatcher(known.domain);
+        submission.domain == null ? Optional.empty() : routes.dispatcher(submission.domain);
     if (target.isPresent()) {
-      send(known, target.get());
+      send(submission, target.get());
       return;
     }
-    long unrouted = now - known.unroutedSince;
-    if (unrouted >= DOMAIN_LOSS_TIMEOUT_MILLIS) {
-      // The domain is cut off or lost. Its runners' leases to it have run out; for a guarded job
-      // the ledger still says whether it may run anywhere else.
-      known.domain = HomeDomainResolver.resolve(known.key, routes.acceptingDomains()).orElse(null);
-      if (known.domain != null) {
-        route(known);
+    long unroutedMillis = now - submission.unroutedSince;
+    if (unroutedMillis >= DOMAIN_LOSS_TIMEOUT_MILLIS) {
+      // The domain is partitioned or lost, and the leases of its runners have expired. For an
+      // at-most-once job the ledger still decides whether it may run elsewhere.
+      submission.domain =
+          HomeDomainResolver.resolve(submission.key, routes.acceptingDomains()).orElse(null);
+      if (submission.domain != null) {
+        route(submission);
         return;
       }
     }
-    if (unrouted >= NO_DISPATCHER_TIMEOUT_MILLIS && !known.sent) {
-      complete(PendingKey.of(known), noDispatcherOutcome(known));
+    if (unroutedMillis >= NO_DISPATCHER_TIMEOUT_MILLIS && !submission.sent) {
+      complete(PendingKey.of(submission), noDispatcherOutcome(submission));
     }
   }
 
-  private Optional<String> chooseDomain(PendingSubmission known) {
-    boolean keyed = known.request == null || known.request.keyed();
+  private Optional<String> chooseDomain(PendingSubmission submission) {
+    boolean keyed = submission.request == null || submission.request.keyed();
     boolean local = routes.acceptingDomains().contains(routes.domain());
-    if ((known.atMostOnce || !keyed) && local) {
+    if ((submission.atMostOnce || !keyed) && local) {
       return Optional.of(routes.domain());
     }
     return routes.settled()
-        ? HomeDomainResolver.resolve(known.key, routes.openDomains())
+        ? HomeDomainResolver.resolve(submission.key, routes.openDomains())
         : Optional.empty();
   }
 
-  private void send(PendingSubmission known, RouteView.ActiveDispatcher target) {
-    known.sentTo = target;
-    known.sent = true;
+  private void send(PendingSubmission submission, RouteView.ActiveDispatcher target) {
+    submission.sentTo = target;
+    submission.sent = true;
     effects.add(
-        switch (known.purpose) {
+        switch (submission.purpose) {
           case SUBMIT ->
-              new EntryEffect.SendJob(target.host(), withRemainingTime(known), known.arrival);
-          case FOLLOW -> new EntryEffect.SendFollow(target.host(), known.key);
-          case CANCEL -> new EntryEffect.SendCancel(target.host(), known.key);
+              new EntryEffect.SendJob(
+                  target.host(), withRemainingTime(submission), submission.arrival);
+          case FOLLOW -> new EntryEffect.SendFollow(target.host(), submission.key);
+          case CANCEL -> new EntryEffect.SendCancel(target.host(), submission.key);
         });
   }
 
-  private JobRequest withRemainingTime(PendingSubmission known) {
-    JobRequest request = known.request;
+  private JobRequest withRemainingTime(PendingSubmission submission) {
+    JobRequest request = submission.request;
     if (request == null) {
-      throw new IllegalStateException("submission " + known.key + " has no content to send");
+      throw new IllegalStateException("submission " + submission.key + " has no content to send");
     }
     return new JobRequest(
         request.key(),
         request.digest(),
         request.job(),
         request.tasks(),
-        Math.max(1, known.deadlineAt - now),
+        Math.max(1, submission.deadlineAt - now),
         request.keyed());
   }
 
-  private static JobOutcome deadlineOutcome(PendingSubmission known) {
-    if (known.sent) {
+  private static JobOutcome deadlineOutcome(PendingSubmission submission) {
+    if (submission.sent) {
       String detail = "no outcome was known at the deadline";
       return failed(ErrorKind.DEADLINE_EXCEEDED, detail, 0);
     }
-    return noDispatcherOutcome(known);
+    return noDispatcherOutcome(submission);
   }
 
-  private static JobOutcome noDispatcherOutcome(PendingSubmission known) {
-    // A keyed submission may have reached another host before, so it can't be called not run.
-    boolean keyed = known.request == null || known.request.keyed();
+  private static JobOutcome noDispatcherOutcome(PendingSubmission submission) {
+    // A keyed submission may have reached another host before, so it can't be reported as not run.
+    boolean keyed = submission.request == null || submission.request.keyed();
     ErrorKind kind = keyed ? ErrorKind.UNAVAILABLE : ErrorKind.NOT_RUN;
     return failed(kind, "no dispatcher can be reached", RETRY_AFTER_MILLIS);
   }
 
   private List<PendingSubmission> pendingFor(SubmissionKey key) {
-    return pending.values().stream().filter(known -> known.key.equals(key)).toList();
+    return pending.values().stream().filter(submission -> submission.key.equals(key)).toList();
   }
 
   private void answer(long ticket, SubmissionKey key, JobOutcome outcome) {
@@ -348,9 +356,9 @@
       return new PendingKey(key, purpose, "");
     }
 
-    static PendingKey of(PendingSubmission known) {
-      String digest = known.request == null ? "" : known.request.digest();
-      return new PendingKey(known.key, known.purpose, digest);
+    static PendingKey of(PendingSubmission submission) {
+      String digest = submission.request == null ? "" : submission.request.digest();
+      return new PendingKey(submission.key, submission.purpose, digest);
     }
   }
 }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/entry/PendingSubmission.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/entry/PendingSubmission.java
@@ -11,7 +11,7 @@
 /** A submission for which callers wait at this entry host. */
 final class PendingSubmission {
 
-  /** What the waiting caller asked for. */
+  /** The purpose of the waiting request. */
   enum Purpose {
     SUBMIT,
     FOLLOW,
@@ -23,7 +23,7 @@
   final @Nullable JobRequest request;
   final boolean atMostOnce;
 
-  /** Waiting requests with the time until which each waits. */
+  /** Tickets of the waiting requests with the time at which each wait ends. */
   final Map<Long, Long> tickets = new LinkedHashMap<>();
 
   final long arrivedAt;
@@ -40,13 +40,13 @@
       SubmissionKey key,
       Purpose purpose,
       @Nullable JobRequest request,
-      boolean guarded,
+      boolean atMostOnce,
       long arrivedAt,
       long deadlineAt) {
     this.key = key;
     this.purpose = purpose;
     this.request = request;
-    this.atMostOnce = guarded;
+    this.atMostOnce = atMostOnce;
     this.arrivedAt = arrivedAt;
     this.deadlineAt = deadlineAt;
     this.unroutedSince = arrivedAt;
--- a/burdockbay-core/src/main/java/org/burdockbay/core/entry/package-info.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/entry/package-info.java
@@ -1,4 +1,5 @@
 /**
- * The entry side of a host: it routes each submission to a dispatcher and answers its caller once.
+ * The entry side of a host, which routes each submission to a dispatcher and answers its caller
+ * once.
  */
 package org.burdockbay.core.entry;
--- a/burdockbay-core/src/main/java/org/burdockbay/core/runner/AttemptOutcome.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/runner/AttemptOutcome.java
@@ -1,20 +1,20 @@
 package org.burdockbay.core.runner;
 
-/** How a call that starts an attempt ended, as far as the caller of the runner can tell. */
+/** The outcome of a call that starts an attempt, as far as the dispatcher can tell. */
 public sealed interface AttemptOutcome {
 
-  /** The task ran and answered. */
+  /** The task ran and returned an answer. */
   record Succeeded(String answer) implements AttemptOutcome {}
 
   /** The task ran and failed. */
   record Failed(String reason) implements AttemptOutcome {}
 
-  /** The attempt never began, and the runner won't begin it under this id. */
+  /** The attempt never started, and the runner won't start it under this id. */
   record Rejected(String reason) implements AttemptOutcome {}
 
-  /** The runner refused because it obeys a dispatcher with a higher epoch. */
+  /** The runner rejected the call because it has accepted a higher epoch. */
   record Fenced(long epoch) implements AttemptOutcome {}
 
-  /** No answer came; the attempt may be running, finished, or may never have arrived. */
+  /** No answer was received; the attempt may be running or finished, or may never have arrived. */
   record Uncertain(String reason) implements AttemptOutcome {}
 }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/runner/AttemptReport.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/runner/AttemptReport.java
@@ -3,7 +3,7 @@
 import org.burdockbay.core.submission.AttemptId;
 
 /**
- * One line of a runner's inventory.
+ * An entry in a runner's list of attempts.
  *
  * @param id the attempt
  * @param status running or finished
--- a/burdockbay-core/src/main/java/org/burdockbay/core/runner/AttemptStatus.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/runner/AttemptStatus.java
@@ -1,6 +1,6 @@
 package org.burdockbay.core.runner;
 
-/** What a runner says of an attempt when it is asked over a new connection. */
+/** The status of an attempt, as its runner reports it over a new connection. */
 public sealed interface AttemptStatus {
 
   /** The attempt is running. */
@@ -9,7 +9,7 @@
   /** The attempt ended; the outcome is either a success or a failure. */
   record Finished(AttemptOutcome outcome) implements AttemptStatus {}
 
-  /** The runner has not seen the attempt and from now on refuses to start it. */
+  /** The runner has not received the attempt and from now on refuses to start it. */
   record NeverBegan() implements AttemptStatus {}
 
   /** The runner could not be reached. */
--- a/burdockbay-core/src/main/java/org/burdockbay/core/runner/RunnerAnnouncement.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/runner/RunnerAnnouncement.java
@@ -3,14 +3,14 @@
 import java.util.Set;
 
 /**
- * What an upstream tells of itself, repeated as the renewal of its lease.
+ * An announcement of a runner, repeated to renew its lease.
  *
- * @param id the run of the upstream
+ * @param id the instance of the runner
  * @param address base URL of its attempts API
  * @param services services that it runs
- * @param labels what it offers, for example an accelerator
- * @param slots tasks that it runs at once
- * @param leaving whether it takes no new work
+ * @param labels capabilities that it offers, for example an accelerator
+ * @param slots number of tasks that it runs at once
+ * @param leaving whether it accepts no new work
  */
 public record RunnerAnnouncement(
     RunnerId id,
--- a/burdockbay-core/src/main/java/org/burdockbay/core/runner/package-info.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/runner/package-info.java
@@ -1,2 +1,2 @@
-/** Upstreams as they announce themselves, and what is known of their attempts. */
+/** Announcements of runners, and the status and outcomes of their attempts. */
 package org.burdockbay.core.runner;
--- a/burdockbay-core/src/main/java/org/burdockbay/core/submission/AttemptId.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/submission/AttemptId.java
@@ -5,10 +5,11 @@
 import java.util.regex.Pattern;
 
 /**
- * Identity of one attempt of one task; answers are matched by it and by nothing else.
+ * Identifies one attempt of one task; answers are matched by this id alone.
  *
- * <p>It carries the content tag because runners remember attempts longer than a dispatcher lives: a
- * new dispatcher that finds an attempt of the same key must not take the answer to other content.
+ * <p>It contains a tag of the content because runners retain attempts beyond the lifetime of a
+ * dispatcher: a new dispatcher that finds an attempt of the same key must not accept the answer to
+ * other content.
  *
  * @param key the submission
  * @param contentTag first characters of the digest of the content
@@ -25,12 +26,12 @@
     return new AttemptId(request.key(), contentTagOf(request.digest()), task, attempt);
   }
 
-  /** Returns the part of a digest that attempts carry. */
+  /** Returns the content tag of a digest. */
   public static String contentTagOf(String digest) {
     return digest.substring(0, Math.min(CONTENT_TAG_LENGTH, digest.length()));
   }
 
-  /** Returns the id written by {@link #toString()}, or empty if the text is not one. */
+  /** Returns the id in the form of {@link #toString()}, or empty if the text has another form. */
   public static Optional<AttemptId> parse(String text) {
     Matcher matcher = ID_PATTERN.matcher(text);
     if (!matcher.matches()) {
--- a/burdockbay-core/src/main/java/org/burdockbay/core/submission/JobOutcome.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/submission/JobOutcome.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import org.burdockbay.core.error.ErrorKind;
 
-/** The final answer of a job: whole or failed, never a part. */
+/** The final outcome of a job: complete or failed, never partial. */
 public sealed interface JobOutcome {
 
   /**
@@ -22,13 +22,13 @@
   /**
    * The job failed as a whole.
    *
-   * @param kind what happened
-   * @param detail a sentence for the caller
-   * @param retryAfterMillis when to come back, in milliseconds; 0 where it makes no sense
+   * @param kind kind of the failure
+   * @param detail description for the caller
+   * @param retryAfterMillis delay before a retry, in milliseconds; 0 if a retry isn't useful
    */
   record Failed(ErrorKind kind, String detail, long retryAfterMillis) implements JobOutcome {}
 
-  /** Returns the word for logs: {@code completed} or the code of the error kind. */
+  /** Returns the code for logs: {@code completed} or the code of the error kind. */
   default String code() {
     return switch (this) {
       case Completed completed -> "completed";
--- a/burdockbay-core/src/main/java/org/burdockbay/core/submission/SubmissionKey.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/submission/SubmissionKey.java
@@ -3,9 +3,9 @@
 import java.util.Objects;
 
 /**
- * Identity of a submission: the caller and the id that the caller chose.
+ * Identifies a submission by its caller and the id that the caller chose.
  *
- * <p>Two submissions with the same key are the same work, at whichever host they arrive.
+ * <p>Submissions with the same key are the same work, regardless of the host that receives them.
  */
 public record SubmissionKey(String caller, String submission) {
 
--- a/burdockbay-core/src/main/java/org/burdockbay/core/submission/package-info.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/submission/package-info.java
@@ -1,2 +1,2 @@
-/** What identifies a submission, and what a job asks for and is answered with. */
+/** Identities, requests and outcomes of submissions. */
 package org.burdockbay.core.submission;
