--- a/burdockbay-core/src/test/java/org/burdockbay/core/dispatch/DispatchFuzzTest.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/dispatch/DispatchFuzzTest.java
@@ -10,16 +10,16 @@
 import org.testng.annotations.AfterClass;
 import org.testng.annotations.Test;
 
-/** Drives hosts, runners, ledger and callers through faults against {@link DispatchModel}. */
+/** Runs hosts, runners, the ledger and callers through random faults in a {@link DispatchModel}. */
 public class DispatchFuzzTest {
 
   private static final int STEPS = 250;
   private static final int KEYS = 8;
 
   /**
-   * Traders would see a lot sold twice, a mixed-up answer, or no answer. Messages are lost, doubled
-   * and reordered, callers resubmit at other hosts and hosts are restarted as planned. Nothing
-   * dies, so no task at all may begin twice.
+   * Messages are lost, duplicated and reordered, callers resubmit at other hosts, and hosts are
+   * restarted as planned. No process crashes, so no task may start twice, and every caller must get
+   * one answer, to its own request.
    */
   @Test
   public void startsNoTaskTwiceDespiteLostMessagesAndPlannedRestarts() {
@@ -27,10 +27,10 @@
   }
 
   /**
-   * Clerks would see a session booked twice, or hear "not run" of one that was booked. Hosts and
-   * runners die and restart, hosts freeze and come back believing that they still dispatch, domains
-   * are cut off from each other and from the ledger, in any order and together. The cause would be
-   * a gap between ledger, dispatcher and runners.
+   * Hosts and runners crash and restart, hosts are paused and resume as if they still were
+   * dispatchers, and domains are partitioned from each other and from the ledger, in any order and
+   * combination. No at-most-once task may start twice or be reported as "not run" after it ran; the
+   * cause would be a gap between ledger, dispatcher and runners.
    */
   @Test
   public void startsNoAtMostOnceTaskTwiceDespiteCrashesAndPartitions() {
@@ -51,16 +51,16 @@
         .checkAssert(property);
   }
 
-  private static void run(List<Integer> steps, boolean deaths) {
-    DispatchModel model = new DispatchModel(!deaths);
+  private static void run(List<Integer> steps, boolean crashes) {
+    DispatchModel model = new DispatchModel(!crashes);
     for (int step : steps) {
-      step(model, step % 100, step / 100, deaths);
+      step(model, step % 100, step / 100, crashes);
     }
     model.healAndCheckAnswers();
     FuzzOptions.recordExample("dispatch", steps.size(), model.answers);
   }
 
-  private static void step(DispatchModel model, int action, int number, boolean deaths) {
+  private static void step(DispatchModel model, int action, int number, boolean crashes) {
     if (action < 25) {
       model.deliverAll();
       model.advance(10 + number % 90);
@@ -80,7 +80,7 @@
       model.runWithoutFaults(3_000);
     } else if (action < 84) {
       model.rollingRestart(number);
-    } else if (deaths) {
+    } else if (crashes) {
       injectFault(model, action, number);
     }
   }
--- a/burdockbay-core/src/test/java/org/burdockbay/core/dispatch/DispatchModel.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/dispatch/DispatchModel.java
@@ -23,10 +23,11 @@
 import org.burdockbay.core.submission.SubmissionKey;
 
 /**
- * Four hosts in two failure domains, their runners, callers that resubmit, and a ledger, in one
- * thread. Everything on its way is in one bag, from which it is delivered, lost or doubled.
+ * Models four hosts in two failure domains, their runners, callers that resubmit, and a ledger, in
+ * one thread. Messages and calls under way are in {@link #inFlight}, from which they are delivered,
+ * lost or duplicated.
  *
- * <p>The oracle is in {@link #recordStart} and {@link #recordAnswer}.
+ * <p>The invariants are checked in {@link #recordStart} and {@link #recordAnswer}.
  */
 final class DispatchModel {
 
@@ -63,7 +64,10 @@
   boolean partitioned;
   boolean ledgerDown;
 
-  /** Whether idempotent tasks may begin again: a host or runner died, or domains were cut off. */
+  /**
+   * Whether idempotent tasks may start again: a host or runner crashed, or domains were
+   * partitioned.
+   */
   boolean mayRepeatIdempotentTasks;
 
   int answers;
@@ -72,14 +76,14 @@
   private final Map<SubmissionKey, Long> firstStartByKey = new HashMap<>();
   private final Map<Long, Ticket> tickets = new HashMap<>();
 
-  /** Cancellations without an answer, with the host at which each waits. */
+  /** Unanswered cancellations with the host at which each waits. */
   private final Map<Long, String> pendingCancellations = new HashMap<>();
 
   private final StringBuilder trace = new StringBuilder();
   private long now = 1_000_000;
   private long lastTicket;
 
-  /** Whether hosts and runners always hear of each other in time. */
+  /** Whether heartbeats and announcements are always delivered in time. */
   private final boolean reliableAnnouncements;
 
   DispatchModel(boolean quiet) {
@@ -107,7 +111,7 @@
     return now;
   }
 
-  /** Time passes for every host and runner that is neither down nor frozen. */
+  /** Advances the time for every host and runner that is neither down nor frozen. */
   void advance(int millis) {
     now += millis;
     runners.forEach(ModelRunner::tick);
@@ -122,7 +126,7 @@
     hosts.values().stream().filter(ModelHost::isRunning).forEach(ModelHost::tick);
   }
 
-  /** Everything arrives, and time passes. */
+  /** Advances the time in small steps and delivers all messages between them. */
   void runWithoutFaults(int millis) {
     for (int passed = 0; passed < millis; passed += 50) {
       deliverAll();
@@ -144,7 +148,7 @@
     }
   }
 
-  /** Loses a message; the connection that carried it is reset, which both ends notice. */
+  /** Drops a message; the connection that carried it is reset, of which both ends are notified. */
   void dropMessage(int index) {
     if (!inFlight.isEmpty()) {
       inFlight.remove(index % inFlight.size());
@@ -161,7 +165,7 @@
     if (!host.isRunning() || host.membership.isDraining()) {
       return;
     }
-    boolean guarded = keyIndex % 2 == 0;
+    boolean atMostOnce = keyIndex % 2 == 0;
     SubmissionKey key = new SubmissionKey(keyIndex % 3 == 0 ? "a" : "b", "k" + keyIndex);
     String content = key + (otherContent ? "/other" : "");
     List<String> tasks = new ArrayList<>();
@@ -169,12 +173,12 @@
       tasks.add(content + "/" + i);
     }
     String digest = "digest-" + (otherContent ? "other" : "own");
-    String job = guarded ? "booking" : "check";
+    String job = atMostOnce ? "booking" : "check";
     JobRequest request = new JobRequest(key, digest, job, tasks, DEADLINE_MILLIS, true);
     lastTicket++;
     tickets.put(lastTicket, new Ticket(request, host.name, now));
     trace("submit " + key + " at " + host.name + " ticket " + lastTicket);
-    host.enter(new EntryEvent.Submitted(lastTicket, request, guarded));
+    host.enter(new EntryEvent.Submitted(lastTicket, request, atMostOnce));
   }
 
   void cancel(int hostIndex, int keyIndex) {
@@ -212,7 +216,9 @@
     runners.get(index % runners.size()).restart();
   }
 
-  /** A planned stop and a new start; the process ends only once nothing is in flight. */
+  /**
+   * Stops a host as planned and starts it again; the process ends only once nothing is in flight.
+   */
   void rollingRestart(int hostIndex) {
     ModelHost host = host(hostIndex);
     if (!host.isRunning()) {
@@ -225,11 +231,11 @@
       advance(50);
     }
     if (!host.isIdle()) {
-      throw new AssertionError("a planned stop of " + host.name + " cuts off requests" + trace);
+      throw new AssertionError("the planned stop of " + host.name + " interrupts requests" + trace);
     }
     deliverAll();
     host.restart();
-    // Operators go on to the next host once this one is ready again.
+    // Operators continue with the next host once this one is ready again.
     runWithoutFaults(600);
   }
 
@@ -237,7 +243,7 @@
     return List.copyOf(hosts.values()).get(index % hosts.size());
   }
 
-  /** Ends all faults; every caller must then have its answer. */
+  /** Ends all faults and checks that every caller then gets its answer. */
   void healAndCheckAnswers() {
     partitioned = false;
     ledgerDown = false;
@@ -258,18 +264,24 @@
         });
   }
 
-  /** Oracle: a guarded task begins once at most, any task once unless something died. */
+  /**
+   * Checks that an at-most-once task starts at most once, and any task once unless a process
+   * crashed or domains were partitioned.
+   */
   void recordStart(AttemptId attempt, String payload) {
     trace("began " + attempt);
     int times = startsByPayload.merge(payload, 1, Integer::sum);
     firstStartByKey.putIfAbsent(attempt.key(), now);
-    boolean guarded = Integer.parseInt(attempt.key().submission().substring(1)) % 2 == 0;
-    if (times > 1 && (guarded || !mayRepeatIdempotentTasks)) {
-      throw new AssertionError(attempt + " begins task '" + payload + "' again" + trace);
+    boolean atMostOnce = Integer.parseInt(attempt.key().submission().substring(1)) % 2 == 0;
+    if (times > 1 && (atMostOnce || !mayRepeatIdempotentTasks)) {
+      throw new AssertionError(attempt + " starts task '" + payload + "' again" + trace);
     }
   }
 
-  /** Oracle: one whole answer to the own request, and "not run" only if nothing began. */
+  /**
+   * Checks that each request gets one complete answer to its own content, and "not run" only if
+   * nothing started.
+   */
   void recordAnswer(ModelHost host, EntryEffect.Answer answer) {
     pendingCancellations.remove(answer.ticket());
     Ticket ticket = tickets.get(answer.ticket());
@@ -299,18 +311,21 @@
         }
       }
       case JobOutcome.Failed failed -> {
-        Long began = firstStartByKey.get(answer.key());
+        Long firstStart = firstStartByKey.get(answer.key());
         boolean ran =
-            began != null && (began < ticket.submittedAt || !hasOverlappingRequest(ticket));
+            firstStart != null
+                && (firstStart < ticket.submittedAt || !hasOverlappingRequest(ticket));
         if (failed.kind().runGuarantee() == RunGuarantee.NOT_RUN && ran) {
           throw new AssertionError(
-              "ticket " + answer.ticket() + " of " + answer.key() + " hears " + failed + trace);
+              "ticket " + answer.ticket() + " of " + answer.key() + " gets " + failed + trace);
         }
       }
     }
   }
 
-  /** Returns whether the caller had another request with the same key under way meanwhile. */
+  /**
+   * Returns whether the caller had another request with the same key in progress at the same time.
+   */
   private boolean hasOverlappingRequest(Ticket ticket) {
     return tickets.values().stream()
         .anyMatch(
@@ -329,10 +344,10 @@
     }
     inFlight.add(
         () -> {
-          boolean cut = partitioned && !from.domain.equals(target.domain);
+          boolean separated = partitioned && !from.domain.equals(target.domain);
           if (target.frozen) {
             send(from, to, message);
-          } else if (!cut && !target.down && from.incarnation == fromIncarnation) {
+          } else if (!separated && !target.down && from.incarnation == fromIncarnation) {
             target.receive(from.name, message);
           } else if (!target.down) {
             enqueue(target, () -> target.enter(new EntryEvent.PeerReset(from.name)));
@@ -340,7 +355,7 @@
         });
   }
 
-  /** Carries out what leaves the host: calls to runners and proposals to the ledger. */
+  /** Executes the effects that leave the host: calls to runners and proposals to the ledger. */
   void execute(ModelHost host, DispatchEffect effect) {
     switch (effect) {
       case DispatchEffect.StartAttempt start ->
@@ -352,15 +367,16 @@
                   answerStart(runner, start, outcome);
                 }
               });
-      case DispatchEffect.QueryAttempt ask ->
+      case DispatchEffect.QueryAttempt query ->
           inFlight.add(
               () -> {
-                AttemptStatus status = runner(ask.address()).query(ask);
+                AttemptStatus status = runner(query.address()).query(query);
                 enqueue(
                     host,
                     () ->
                         host.dispatch(
-                            new DispatchEvent.AttemptQueried(ask.attempt(), ask.runner(), status)));
+                            new DispatchEvent.AttemptQueried(
+                                query.attempt(), query.runner(), status)));
               });
       case DispatchEffect.CancelAttempts cancel ->
           inFlight.add(() -> runner(cancel.address()).cancel(cancel.attempts()));
@@ -371,7 +387,9 @@
     }
   }
 
-  /** Brings the answer of a start call to every host, of which the one that called knows it. */
+  /**
+   * Delivers the outcome of a start call to the hosts of the domain that dispatch under its epoch.
+   */
   void answerStart(ModelRunner runner, DispatchEffect.StartAttempt call, AttemptOutcome outcome) {
     for (ModelHost host : hosts.values()) {
       if (host.domain.equals(runner.domain) && host.dispatcher.epoch() == call.epoch()) {
@@ -384,8 +402,8 @@
     }
   }
 
-  void logEvent(String host, DispatchEffect.LogEvent note) {
-    trace(host + " " + note.event() + " " + note.fields());
+  void logEvent(String host, DispatchEffect.LogEvent line) {
+    trace(host + " " + line.event() + " " + line.fields());
   }
 
   private void fence(ModelHost host, DispatchEffect.FenceRunner fence) {
@@ -407,7 +425,7 @@
   }
 
   private void propose(ModelHost host, LedgerRequest request) {
-    // Domain a holds the quorum; a cut leaves domain b without it.
+    // Domain a holds the quorum, so a partition leaves domain b without it.
     boolean reachable = !ledgerDown && !(partitioned && host.domain.equals("b"));
     LedgerReply reply =
         reachable
@@ -424,7 +442,7 @@
     }
   }
 
-  /** Queues something for a host; it is lost if the host dies before. */
+  /** Enqueues an item for a host; it is lost if the host crashes before its delivery. */
   private void enqueue(ModelHost host, Runnable item) {
     long incarnation = host.incarnation;
     inFlight.add(
@@ -455,7 +473,7 @@
     private final long submittedAt;
     private JobOutcome outcome;
 
-    /** Whether the host that the caller waited at is gone, and the connection with it. */
+    /** Whether the host of the request crashed, and the connection was lost with it. */
     private boolean connectionLost;
 
     private long answeredAt = Long.MAX_VALUE;
--- a/burdockbay-core/src/test/java/org/burdockbay/core/dispatch/DispatcherTest.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/dispatch/DispatcherTest.java
@@ -25,7 +25,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Focused failures of one dispatcher; each is the guard of a row in docs/PROOFS.md. */
+/** Tests single failures of one dispatcher; each test guards a row in docs/PROOFS.md. */
 public class DispatcherTest {
 
   private static final String CONFIGURATION =
@@ -61,7 +61,7 @@
   private long now;
   private List<DispatchEffect> effects;
 
-  /** Makes a dispatcher that has its epoch and two runners with two slots each. */
+  /** Creates a dispatcher that has its epoch and two runners with two slots each. */
   @BeforeMethod
   public void makeDispatcher() throws StateChartException, ConfigurationException {
     dispatcher = new Dispatcher("north");
@@ -82,8 +82,8 @@
   }
 
   /**
-   * A trader's connection breaks and it resubmits while the job runs, and again once it is done. It
-   * must get the one answer each time, and the runner must see one start.
+   * A caller loses its connection and resubmits a job while the job runs, and again after it is
+   * done. Each time the caller must get the same answer, and the runner must get one start.
    */
   @Test
   public void joinsResubmissionsWithoutSecondStarts() {
@@ -100,8 +100,8 @@
   }
 
   /**
-   * One task of a job fails for good while others have answered. The caller must hear that the job
-   * failed, and none of the answers, as half a result looks like a whole one.
+   * One task of a job fails permanently while others have answered. The caller must get the failure
+   * of the job and none of the answers, since a partial result looks like a complete one.
    */
   @Test
   public void failsWholeJobsWithoutPartialAnswers() {
@@ -117,8 +117,8 @@
   }
 
   /**
-   * A booking is started before its intent is durable, the dispatcher dies, and its successor,
-   * which finds no record, starts it again. Nothing may start before the ledger has granted it.
+   * If a job started before its intent was durable and the dispatcher was lost, its successor would
+   * find no record and start the job again. Nothing may start before the ledger has granted it.
    */
   @Test
   public void startsNoAtMostOnceTaskBeforeTheLedgerGrants() {
@@ -129,8 +129,8 @@
   }
 
   /**
-   * The ledger has no quorum: the domain is cut off. A booking must be refused at once with a kind
-   * that doesn't claim "not run", while price checks go on.
+   * The ledger has no quorum because the domain is partitioned. An at-most-once job must be refused
+   * at once with a kind that doesn't claim "not run", while idempotent jobs are served.
    */
   @Test
   public void refusesAtMostOnceJobsAndServesOthersWithoutQuorum() {
@@ -148,8 +148,8 @@
   }
 
   /**
-   * The connection of a start call goes silent for good. The task must not be run again; the runner
-   * is asked over a new connection, and its answer counts.
+   * The connection of a start call becomes silent permanently. The task must not start again; the
+   * runner is queried over a new connection, and its answer counts.
    */
   @Test
   public void queriesSilentAttemptsInsteadOfStartingThemAgain() {
@@ -157,8 +157,8 @@
     grantProposals();
     DispatchEffect.StartAttempt start = starts().getFirst();
     tick(1_500);
-    List<DispatchEffect.QueryAttempt> asks = effectsOf(DispatchEffect.QueryAttempt.class);
-    assertEquals(asks.size(), 1);
+    List<DispatchEffect.QueryAttempt> queries = effectsOf(DispatchEffect.QueryAttempt.class);
+    assertEquals(queries.size(), 1);
     handle(
         new DispatchEvent.AttemptQueried(
             start.attempt(),
@@ -170,8 +170,8 @@
   }
 
   /**
-   * A runner dies with a booking on it. Whether it was booked can't be known, so it must be
-   * reported as unknown and not be run on another runner.
+   * A runner is lost while it runs an at-most-once task. Whether the task ran can't be determined,
+   * so it must be reported as unknown and not start on another runner.
    */
   @Test
   public void reportsAtMostOnceTasksOfLostRunnersAsUnknown() {
@@ -184,7 +184,7 @@
     assertEquals(failed.kind(), ErrorKind.OUTCOME_UNKNOWN);
   }
 
-  /** An upstream that is leaving gets nothing new, and what runs on it is finished. */
+  /** A runner that is leaving must get no new tasks, and its running tasks must be finished. */
   @Test
   public void startsNothingOnLeavingRunners() {
     submit("check", "first", "x", Arrival.FIRST);
@@ -200,31 +200,31 @@
   }
 
   /**
-   * A runner that fails everything at once always looks idle and attracts all work. It must be left
-   * out after a few failures of jobs that succeed elsewhere.
+   * A runner that fails every task immediately appears idle and attracts all work. It must be
+   * ejected after a few failures of jobs that succeed elsewhere.
    */
   @Test
   public void ejectsRunnersThatFailEverything() {
-    int onBad = 0;
+    int startsOnFailing = 0;
     for (int i = 0; i < 40; i++) {
       submit("check", "k" + i, "x", Arrival.FIRST);
       for (DispatchEffect.StartAttempt start :
           starts().subList(starts().size() - 1, starts().size())) {
-        boolean bad = start.runner().name().equals("r1");
-        onBad += bad ? 1 : 0;
+        boolean failing = start.runner().name().equals("r1");
+        startsOnFailing += failing ? 1 : 0;
         endAttempt(
-            start, bad ? new AttemptOutcome.Failed("no") : new AttemptOutcome.Succeeded("1"));
+            start, failing ? new AttemptOutcome.Failed("no") : new AttemptOutcome.Succeeded("1"));
       }
       starts().stream()
           .filter(start -> isUnreported(start))
           .forEach(start -> endAttempt(start, new AttemptOutcome.Succeeded("1")));
     }
-    assertTrue(onBad <= 4, "starts on the failing runner: " + onBad);
+    assertTrue(startsOnFailing <= 4, "starts on the failing runner: " + startsOnFailing);
   }
 
   /**
-   * A job is bad and fails on every runner. No runner may be ejected for it, else one bad client
-   * empties the pool for all.
+   * A faulty job fails on every runner. No runner may be ejected for it; otherwise one faulty
+   * client would empty the pool for all.
    */
   @Test
   public void ejectsNoRunnerForJobsThatFailEverywhere() {
@@ -239,8 +239,8 @@
   }
 
   /**
-   * A dispatcher is frozen, another takes over, and the first comes back and starts what it had
-   * queued. A runner tells it of the higher epoch; it must step down.
+   * A dispatcher is paused, another one takes over, and the first resumes and starts its queued
+   * tasks. A runner rejects a start with the higher epoch; the dispatcher must step down.
    */
   @Test
   public void stepsDownWhenFenced() {
@@ -250,8 +250,8 @@
   }
 
   /**
-   * Found by fuzzing: an attempt of an earlier dispatcher ended before its job was sent again. The
-   * result was dropped and the task started a second time.
+   * An attempt of an earlier dispatcher ended before its job was sent again. Its result was dropped
+   * and the task started a second time.
    */
   @Test
   public void retainsResultsOfOrphanedAttempts() {
@@ -272,8 +272,8 @@
   }
 
   /**
-   * A dispatcher dies with a booking that it had opened, and one of its runners is gone too. The
-   * successor can't tell whether the booking ran there, so it must not start it.
+   * A dispatcher is lost with an open at-most-once job, and one of its runners is gone too. The
+   * successor can't tell whether the job ran there, so it must not start the job.
    */
   @Test
   public void neverRestartsAtMostOnceTasksThatLostRunnersMayHaveRun() {
@@ -301,8 +301,8 @@
   }
 
   /**
-   * One caller floods the queue. Another caller's job must go next to a free slot, and must not be
-   * refused for a backlog that isn't its own.
+   * One caller floods the queue. Another caller's job must get one of the next free slots, and must
+   * not be refused for a backlog that isn't its own.
    */
   @Test
   public void servesOtherCallersWhileOneFloodsTheQueue() {
@@ -320,24 +320,24 @@
         "the light caller is served within two starts");
   }
 
-  /** A job that can't make its deadline is refused at once, with a time to come back. */
+  /** A job that can't meet its deadline is refused at once, with a retry delay. */
   @Test
   public void refusesJobsThatWouldMissTheirDeadline() {
     for (int i = 0; i < 40; i++) {
       submit("check", "k" + i, "x", Arrival.FIRST);
     }
-    JobRequest hurried =
+    JobRequest shortDeadline =
         new JobRequest(
             new SubmissionKey("a", "late"), "digest-x", "check", List.of("\"x\""), 150, false);
-    handle(new DispatchEvent.JobSubmitted(hurried, "h", Arrival.FIRST));
+    handle(new DispatchEvent.JobSubmitted(shortDeadline, "h", Arrival.FIRST));
     JobOutcome.Failed refused = (JobOutcome.Failed) reports().getLast().outcome();
     assertEquals(refused.kind(), ErrorKind.OVERLOADED);
     assertTrue(refused.retryAfterMillis() >= 200);
   }
 
   /**
-   * Withdrawals come in a wave. Waiting tasks must vanish without a message, and running ones be
-   * stopped with one message to each runner.
+   * Many jobs are cancelled at once. Waiting tasks must be removed without a message, and running
+   * ones cancelled with one message to each runner.
    */
   @Test
   public void cancelsManyJobsWithOneMessagePerRunner() {
@@ -358,8 +358,8 @@
   }
 
   /**
-   * Every task fails, because of a common cause. Retries must stay within the budget and not
-   * multiply the load.
+   * Every task fails for a common cause. Retries must stay within the budget and not multiply the
+   * load.
    */
   @Test
   public void boundsRetriesByTheBudget() {
@@ -375,7 +375,10 @@
     assertTrue(ended <= jobs + 10 + jobs / 10 + 1, "starts of " + jobs + " jobs: " + ended);
   }
 
-  /** A straggler of an idempotent job gets a second attempt elsewhere, and the loser is stopped. */
+  /**
+   * A straggler of an idempotent job gets a second attempt on another runner, and the slower
+   * attempt is cancelled.
+   */
   @Test
   public void hedgesStragglersOnce() {
     for (int i = 0; i < 30; i++) {
@@ -389,10 +392,10 @@
     DispatchEffect.StartAttempt slow = starts().getLast();
     tick(250);
     tick(250);
-    DispatchEffect.StartAttempt second = starts().getLast();
-    assertFalse(second.runner().equals(slow.runner()));
-    assertEquals(second.attempt().key(), slow.attempt().key());
-    endAttempt(second, new AttemptOutcome.Succeeded("2"));
+    DispatchEffect.StartAttempt hedge = starts().getLast();
+    assertFalse(hedge.runner().equals(slow.runner()));
+    assertEquals(hedge.attempt().key(), slow.attempt().key());
+    endAttempt(hedge, new AttemptOutcome.Succeeded("2"));
     tick(10);
     assertEquals(
         effectsOf(DispatchEffect.CancelAttempts.class).getLast().attempts(),
@@ -442,7 +445,7 @@
     handle(new DispatchEvent.AttemptEnded(start.attempt(), start.runner(), outcome));
   }
 
-  /** Grants whatever was proposed about submissions and not answered yet. */
+  /** Grants the outstanding proposals that open or close submissions. */
   private void grantProposals() {
     for (LedgerRequest request : proposals()) {
       if (request instanceof LedgerRequest.Open || request instanceof LedgerRequest.Close) {
--- a/burdockbay-core/src/test/java/org/burdockbay/core/dispatch/ModelHost.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/dispatch/ModelHost.java
@@ -13,7 +13,7 @@
 import org.burdockbay.core.message.PeerMessage;
 import org.burdockbay.core.statechart.StateChartException;
 
-/** One host of the model: the same parts, wired as the daemon wires them. */
+/** A host of the model: the same parts as in the daemon, connected in the same way. */
 final class ModelHost {
 
   final String name;
@@ -73,7 +73,7 @@
             send(returned.host(), new PeerMessage.ReturnJob(returned.key()));
         case DispatchEffect.StepDown stepDown ->
             apply(membership.handleHigherEpoch(stepDown.higherEpoch(), model.now()));
-        case DispatchEffect.LogEvent note -> model.logEvent(name, note);
+        case DispatchEffect.LogEvent line -> model.logEvent(name, line);
         default -> model.execute(this, effect);
       }
     }
--- a/burdockbay-core/src/test/java/org/burdockbay/core/dispatch/ModelRunner.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/dispatch/ModelRunner.java
@@ -13,7 +13,7 @@
 import org.burdockbay.core.runner.RunnerId;
 import org.burdockbay.core.submission.AttemptId;
 
-/** A small upstream that keeps the runner protocol. */
+/** A minimal runner that implements the runner protocol. */
 final class ModelRunner {
 
   static final int SLOTS = 2;
@@ -43,7 +43,7 @@
         id(), name, Set.of(DispatchModel.SERVICE), Set.of(), SLOTS, false);
   }
 
-  /** The process dies and a new one starts, which knows nothing. */
+  /** Replaces the process by a new one without any state. */
   void restart() {
     incarnation++;
     runs.clear();
@@ -51,7 +51,7 @@
     epoch = 0;
   }
 
-  /** Returns the answer to a start call, or null while the attempt runs. */
+  /** Returns the outcome of a start call, or null while the attempt is running. */
   AttemptOutcome start(DispatchEffect.StartAttempt call) {
     if (down || !call.runner().equals(id())) {
       return new AttemptOutcome.Rejected("not this run of the runner");
@@ -100,7 +100,7 @@
     }
   }
 
-  /** Accepts the epoch; returns the inventory, or null if a higher one is obeyed. */
+  /** Accepts the epoch and returns the list of attempts, or null if a higher epoch was accepted. */
   List<AttemptReport> fence(long newEpoch) {
     if (newEpoch < epoch) {
       return null;
@@ -115,7 +115,7 @@
     return epoch;
   }
 
-  /** Ends the runs whose time is over. */
+  /** Ends the runs whose time has elapsed. */
   void tick() {
     if (!down) {
       List.copyOf(runs.values()).stream()
--- a/burdockbay-core/src/test/java/org/burdockbay/core/entry/EntryGatewayTest.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/entry/EntryGatewayTest.java
@@ -16,7 +16,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Routing and answering at the host that a caller reached. */
+/** Tests routing and answering at an entry host. */
 public class EntryGatewayTest {
 
   private static final SubmissionKey KEY = new SubmissionKey("clerk", "session-9");
@@ -25,7 +25,7 @@
   private List<EntryEffect> effects;
   private long now;
 
-  /** Makes a gateway of domain north, where host n dispatches. */
+  /** Creates a gateway of domain north, where host n is the dispatcher. */
   @BeforeMethod
   public void makeGateway() {
     gateway = new EntryGateway("north");
@@ -35,8 +35,8 @@
   }
 
   /**
-   * Found by hand: a clerk cancels a booking and is told at once that a deadline passed, though
-   * there is none. The request must wait for the dispatcher's word.
+   * A cancellation has no deadline, but was answered at once as if its deadline had passed. It must
+   * wait for the outcome that the dispatcher reports.
    */
   @Test
   public void waitsForTheOutcomeOfCancellations() {
@@ -47,7 +47,7 @@
     assertEquals(answers().getFirst().outcome(), OUTCOME);
   }
 
-  /** A caller that follows for some time hears at the end of it that the job still runs. */
+  /** When the wait of a follow request ends, the caller is informed that the job is unfinished. */
   @Test
   public void endsFollowsAtTheirWaitTimeout() {
     handle(new EntryEvent.Followed(1, KEY, 500));
@@ -58,8 +58,8 @@
   }
 
   /**
-   * The dispatcher dies while a caller waits. The job must go to its successor, marked as one that
-   * may have started, and the caller gets one answer though both report.
+   * The dispatcher is lost while a caller waits. The job must be sent to its successor, marked as
+   * one that may have started, and the caller gets one answer although both report.
    */
   @Test
   public void resendsJobsWhenTheDispatcherChanges() {
@@ -73,7 +73,8 @@
   }
 
   /**
-   * Two requests use one id for different content. Each may only get what was reported for its own.
+   * Two requests use one id for different content. Each may only get the outcome that was reported
+   * for its own content.
    */
   @Test
   public void matchesOutcomesByContent() {
@@ -84,7 +85,10 @@
     assertEquals(answers().getFirst().ticket(), 2);
   }
 
-  /** Without any dispatcher a job with an id isn't called "not run": it may have run before. */
+  /**
+   * Without a dispatcher, a job with an id must not be reported as "not run": it may have run
+   * before.
+   */
   @Test
   public void reportsUnavailableRatherThanNotRunWithoutDispatcher() {
     routes(Map.of());
