--- a/burdockbay-app/src/main/java/org/burdockbay/app/command/InitCommand.java
+++ b/burdockbay-app/src/main/java/org/burdockbay/app/command/InitCommand.java
@@ -38,12 +38,13 @@
                     new BurdockbayException(
                         ErrorKind.BAD_REQUEST, settings + ": [host] data-folder is not set"));
     List<VoterId> voters =
-        host.voterHosts().stream()
+        host.voterIds().stream()
             .map(id -> new VoterId(id, DataFolder.BOOTSTRAP_INCARNATION))
             .toList();
     RecoveredLog first = RecoveredLog.bootstrap(voters);
     try (DataFolder folder = DataFolder.bootstrap(path, host.cluster(), host.id());
-        LogStore store = new LogStore(folder.group(GroupId.CONTROL.number()), GroupId.CONTROL)) {
+        LogStore store =
+            new LogStore(folder.groupFolder(GroupId.CONTROL.number()), GroupId.CONTROL)) {
       store.write(
           List.of(
               new RaftEffect.Persist(
--- a/burdockbay-app/src/main/java/org/burdockbay/app/command/ServeCommand.java
+++ b/burdockbay-app/src/main/java/org/burdockbay/app/command/ServeCommand.java
@@ -24,7 +24,7 @@
 
   @Override
   public ExitCode run() throws BurdockbayException {
-    LazyResources.load();
+    LazyResources.preload();
     Host host = DaggerHostComponent.factory().create(HostSettings.read(settings)).host();
     // SIGTERM begins the planned stop; the hook holds the process until it is done. It must not
     // wait for the main thread: where the stop fails, that thread exits, and exiting waits for
--- a/burdockbay-bench/src/main/java/org/burdockbay/bench/runner/StandInRunner.java
+++ b/burdockbay-bench/src/main/java/org/burdockbay/bench/runner/StandInRunner.java
@@ -238,12 +238,12 @@
 
   private void askCalled(Context context) throws IOException {
     messages.incrementAndGet();
-    RunnerMessages.Ask call = json.readValue(context.body(), RunnerMessages.Ask.class);
+    RunnerMessages.Query call = json.readValue(context.body(), RunnerMessages.Query.class);
     answer(context, status(call));
   }
 
   /** Tells how an attempt stands; one that never began is refused from now on. */
-  private synchronized RunnerMessages.Attempt status(RunnerMessages.Ask call) {
+  private synchronized RunnerMessages.Attempt status(RunnerMessages.Query call) {
     if (call.incarnation() != incarnation) {
       return attempt(call.attempt(), RunnerMessages.REJECTED, "meant for an earlier run");
     }
--- a/burdockbay-server/src/main/java/org/burdockbay/server/Host.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/Host.java
@@ -25,15 +25,15 @@
 @Singleton
 public final class Host {
 
-  private static final long BALANCER_MILLIS = 500;
-  private static final long POLL_MILLIS = 50;
-  private static final long WRITE_MILLIS = 1_000;
+  private static final long READINESS_PROPAGATION_MILLIS = 500;
+  private static final long POLL_INTERVAL_MILLIS = 50;
+  private static final long MIN_WRITE_TIMEOUT_MILLIS = 1_000;
 
   private final HostParts parts;
   private final ConfigurationKeeper configuration;
   private final Responder responder;
   private final ObjectMapper json;
-  private final CountDownLatch drainAsked = new CountDownLatch(1);
+  private final CountDownLatch drainRequested = new CountDownLatch(1);
 
   @Inject
   Host(HostParts parts, ConfigurationKeeper configuration, Responder responder, ObjectMapper json) {
@@ -50,7 +50,7 @@
    */
   public void serve() throws BurdockbayException {
     HostController controller = new HostController(parts, configuration);
-    HttpServer http = httpServer(controller);
+    HttpServer http = createHttpServer(controller);
     try {
       controller.start();
       http.start();
@@ -59,7 +59,7 @@
           .info(
               "host-started",
               "domain=" + parts.settings().domain() + " http=" + parts.settings().httpAddress());
-      drainAsked.await();
+      drainRequested.await();
       drain(controller, http);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
@@ -72,10 +72,10 @@
 
   /** Asks for a planned stop. */
   public void stop() {
-    drainAsked.countDown();
+    drainRequested.countDown();
   }
 
-  private HttpServer httpServer(HostController controller) throws ServerException {
+  private HttpServer createHttpServer(HostController controller) throws ServerException {
     Clock clock = parts.clock();
     CallerApi callers =
         new CallerApi(controller, parts.settings(), parts.metrics(), responder, json, clock);
@@ -93,18 +93,18 @@
   private void drain(HostController controller, HttpServer http) throws InterruptedException {
     controller.drain();
     // The balancer needs a moment to see that the host isn't ready; requests until then are served.
-    Thread.sleep(BALANCER_MILLIS);
-    long giveUpAt = parts.clock().millis() + parts.settings().drainMillis();
-    while (parts.clock().millis() < giveUpAt && inFlight(controller) > 0) {
-      Thread.sleep(POLL_MILLIS);
+    Thread.sleep(READINESS_PROPAGATION_MILLIS);
+    long giveUpAt = parts.clock().millis() + parts.settings().drainTimeoutMillis();
+    while (parts.clock().millis() < giveUpAt && inFlightCount(controller) > 0) {
+      Thread.sleep(POLL_INTERVAL_MILLIS);
     }
     // A request leaves the count when its outcome is known, before its answer is written.
-    http.stop(Math.max(WRITE_MILLIS, giveUpAt - parts.clock().millis()));
+    http.stop(Math.max(MIN_WRITE_TIMEOUT_MILLIS, giveUpAt - parts.clock().millis()));
   }
 
-  private int inFlight(HostController controller) throws InterruptedException {
+  private int inFlightCount(HostController controller) throws InterruptedException {
     try {
-      return controller.inFlight().get(1, TimeUnit.SECONDS);
+      return controller.inFlightCount().get(1, TimeUnit.SECONDS);
     } catch (ExecutionException | TimeoutException e) {
       parts.log().error("drain-defect", "", e);
       return 0;
--- a/burdockbay-server/src/main/java/org/burdockbay/server/LazyResources.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/LazyResources.java
@@ -19,7 +19,7 @@
   private LazyResources() {}
 
   /** Loads native libraries, kernel limits, and security and logging properties. */
-  public static void load() {
+  public static void preload() {
     LogManager.getLogManager();
     new SecureRandom().nextBytes(new byte[SEED_BYTES]);
     // Channels that aren't registered start no event loop.
--- a/burdockbay-server/src/main/java/org/burdockbay/server/host/AgreementDriver.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/host/AgreementDriver.java
@@ -32,10 +32,10 @@
   private final ControlState state = new ControlState();
   private final LogWriter writer;
   private final BiConsumer<String, RaftMessage> sender;
-  private final Consumer<ControlState> changed;
+  private final Consumer<ControlState> stateListener;
   private final EventLog log;
   private final Clock clock;
-  private final Map<Long, PendingProposal> proposals = new HashMap<>();
+  private final Map<Long, PendingProposal> pendingProposals = new HashMap<>();
   private boolean failed;
 
   AgreementDriver(
@@ -49,7 +49,7 @@
     this.node = node;
     this.writer = writer;
     this.sender = sender;
-    this.changed = changed;
+    this.stateListener = changed;
     this.log = log;
     this.clock = clock;
     snapshot.ifPresent(this::restore);
@@ -71,7 +71,7 @@
   }
 
   /** Returns whether this host leads the group. */
-  public boolean leads() {
+  public boolean isLeader() {
     return !failed && node.role() == RaftRole.LEADER;
   }
 
@@ -83,29 +83,29 @@
   /** Takes a message of another voter. */
   public void receive(RaftMessage message) {
     if (!failed) {
-      run(node.receive(message, clock.millis()));
+      execute(node.receive(message, clock.millis()));
     }
   }
 
   /** Lets time pass. */
   public void tick() {
     if (!failed) {
-      run(node.tick(clock.millis()));
-      compact();
+      execute(node.tick(clock.millis()));
+      compactIfDue();
     }
   }
 
   /** Sends and writes what has come up since the last call. */
   public void flush() {
     if (!failed) {
-      run(node.flush());
+      execute(node.flush());
     }
   }
 
   /** Takes note that everything up to the ticket is synced. */
   public void persisted(long ticket) {
     if (!failed) {
-      run(node.persisted(ticket, clock.millis()));
+      execute(node.persisted(ticket, clock.millis()));
     }
   }
 
@@ -116,7 +116,7 @@
   public void storageFailed(Exception cause) {
     failed = true;
     log.error("storage-failed", "voter=" + node.self(), cause);
-    failAll();
+    failPendingProposals();
   }
 
   /** Proposes a command; the callback gets the reply once the command is committed. */
@@ -126,18 +126,18 @@
     if (index.isEmpty()) {
       callback.accept(new ControlReply.Unavailable());
     } else {
-      proposals.put(index.getAsLong(), new PendingProposal(node.term(), callback));
+      pendingProposals.put(index.getAsLong(), new PendingProposal(node.term(), callback));
     }
   }
 
   /** Hands leadership over, if this host has it. */
   public void transferLeadership() {
     if (!failed) {
-      run(node.transferLeadership(clock.millis()));
+      execute(node.transferLeadership(clock.millis()));
     }
   }
 
-  private void run(List<RaftEffect> effects) {
+  private void execute(List<RaftEffect> effects) {
     for (RaftEffect effect : effects) {
       switch (effect) {
         case RaftEffect.Persist persist -> writer.submit(persist);
@@ -153,13 +153,13 @@
     ControlReply reply = new ControlReply.Unavailable();
     if (entry.content() instanceof EntryContent.Command command) {
       try {
-        reply = state.apply(ControlCodec.command(command.data()), entry.timeMillis());
+        reply = state.apply(ControlCodec.decodeCommand(command.data()), entry.timeMillis());
       } catch (WireException e) {
         log.error("command-unreadable", "index=" + entry.index(), e);
       }
-      changed.accept(state);
+      stateListener.accept(state);
     }
-    PendingProposal pending = proposals.remove(entry.index());
+    PendingProposal pending = pendingProposals.remove(entry.index());
     if (pending != null) {
       // Another leader's entry may have taken the place of the proposal.
       boolean own = pending.term == entry.term();
@@ -169,8 +169,8 @@
 
   private void restore(Snapshot snapshot) {
     try {
-      state.restore(ControlCodec.image(snapshot.data()));
-      changed.accept(state);
+      state.restore(ControlCodec.decodeImage(snapshot.data()));
+      stateListener.accept(state);
     } catch (WireException e) {
       log.error("snapshot-unreadable", "index=" + snapshot.index(), e);
       failed = true;
@@ -183,19 +183,19 @@
         "agreement-role",
         "role=" + changed.role() + " term=" + changed.term() + " leader=" + leader);
     if (changed.role() != RaftRole.LEADER) {
-      failAll();
+      failPendingProposals();
     }
   }
 
-  private void failAll() {
-    List<PendingProposal> lost = new ArrayList<>(proposals.values());
-    proposals.clear();
+  private void failPendingProposals() {
+    List<PendingProposal> lost = new ArrayList<>(pendingProposals.values());
+    pendingProposals.clear();
     lost.forEach(pending -> pending.callback.accept(new ControlReply.Unavailable()));
   }
 
-  private void compact() {
+  private void compactIfDue() {
     if (node.isCompactionDue()) {
-      run(node.compact(ControlCodec.toBytes(state.image())));
+      execute(node.compact(ControlCodec.toBytes(state.image())));
     }
   }
 
--- a/burdockbay-server/src/main/java/org/burdockbay/server/host/AgreementStorage.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/host/AgreementStorage.java
@@ -73,12 +73,12 @@
     return folder.incarnation();
   }
 
-  AgreementDriver driver(
+  AgreementDriver createDriver(
       HostParts parts,
       BiConsumer<String, RaftMessage> sender,
       Consumer<ControlImage.ConfigurationVersion> configured) {
     Consumer<ControlState> changed = state -> state.configuration().ifPresent(configured);
-    return driver(
+    return createDriver(
         parts.settings().id(), parts.incarnation(), sender, changed, parts.log(), parts.clock());
   }
 
@@ -88,7 +88,7 @@
    * @param seed seed of the election timeouts
    * @param changed told of the agreed state after each command
    */
-  public AgreementDriver driver(
+  public AgreementDriver createDriver(
       String host,
       long seed,
       BiConsumer<String, RaftMessage> sender,
@@ -96,7 +96,7 @@
       EventLog log,
       Clock clock) {
     VoterId self = new VoterId(host, folder.incarnation());
-    RecoveredLog recovered = store.recovered();
+    RecoveredLog recovered = store.recoveredLog();
     RaftNode node = new RaftNode(self, recovered, RaftTiming.DEFAULT, seed, clock.millis());
     return new AgreementDriver(node, recovered.snapshot(), writer, sender, changed, log, clock);
   }
@@ -106,7 +106,7 @@
       throws StorageException {
     DataFolder folder = DataFolder.open(path, cluster, host);
     try {
-      LogStore store = new LogStore(folder.group(GroupId.CONTROL.number()), GroupId.CONTROL);
+      LogStore store = new LogStore(folder.groupFolder(GroupId.CONTROL.number()), GroupId.CONTROL);
       logOpened(folder, store, log);
       LogWriter writer =
           new LogWriter(
@@ -121,8 +121,8 @@
   }
 
   private static void logOpened(DataFolder folder, LogStore store, EventLog log) {
-    RecoveredLog recovered = store.recovered();
-    RecoveryReport report = store.report();
+    RecoveredLog recovered = store.recoveredLog();
+    RecoveryReport report = store.recoveryReport();
     log.info(
         "data-folder-opened",
         "incarnation="
@@ -140,7 +140,7 @@
             + " term="
             + recovered.hardState().term()
             + " cut-bytes="
-            + report.cutBytes());
+            + report.truncatedBytes());
     for (LogGap gap : report.gaps()) {
       log.info(
           "log-gap",
@@ -149,9 +149,9 @@
               + " term="
               + gap.lastTerm()
               + " segment-follows="
-              + gap.nextIndex()
+              + gap.baseIndex()
               + " next-term="
-              + gap.nextTerm());
+              + gap.baseTerm());
     }
   }
 
--- a/burdockbay-server/src/main/java/org/burdockbay/server/host/ControlThread.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/host/ControlThread.java
@@ -24,18 +24,18 @@
 public final class ControlThread implements AutoCloseable {
 
   /** Time between two ticks, in milliseconds. */
-  public static final long TICK_MILLIS = 25;
+  public static final long TICK_INTERVAL_MILLIS = 25;
 
   /** Longest time for tasks before the next flush, in milliseconds; a small part of a heartbeat. */
-  private static final long SLICE_MILLIS = 25;
+  private static final long MAX_SLICE_MILLIS = 25;
 
   private final Clock clock;
   private final EventLog log;
-  private final WaitMeter controlWaits;
-  private final WaitMeter workWaits;
-  private final AtomicLong lastNumber = new AtomicLong();
+  private final WaitMeter controlWaitMeter;
+  private final WaitMeter workWaitMeter;
+  private final AtomicLong lastSequence = new AtomicLong();
   private final BlockingQueue<Task> queue = new PriorityBlockingQueue<>();
-  private final Queue<Runnable> deferred = new ConcurrentLinkedQueue<>();
+  private final Queue<Runnable> deferredTasks = new ConcurrentLinkedQueue<>();
   private final Thread thread;
   private volatile boolean stopped;
   private Runnable tick = () -> {};
@@ -45,8 +45,8 @@
   public ControlThread(Clock clock, EventLog log, MetricRegistry registry) {
     this.clock = clock;
     this.log = log;
-    this.controlWaits = new WaitMeter(registry, "control.wait", log, "control-late");
-    this.workWaits = new WaitMeter(registry, "work.wait", log, "work-late");
+    this.controlWaitMeter = new WaitMeter(registry, "control.wait", log, "control-late");
+    this.workWaitMeter = new WaitMeter(registry, "work.wait", log, "work-late");
     this.thread = Thread.ofPlatform().name("control").unstarted(this::run);
   }
 
@@ -59,7 +59,7 @@
 
   /** Runs a control task on the thread, later; it has to be short. */
   public void execute(Runnable task) {
-    add(Lane.CONTROL, task);
+    enqueue(Lane.CONTROL, task);
   }
 
   /**
@@ -69,12 +69,12 @@
    * most messages.
    */
   public void executeDeferred(Runnable task) {
-    deferred.add(task);
+    deferredTasks.add(task);
   }
 
   /** Runs a task of the work on the thread, once no control task waits. */
   public void executeWork(Runnable task) {
-    add(Lane.WORK, task);
+    enqueue(Lane.WORK, task);
   }
 
   /** Returns the number of tasks that wait. */
@@ -93,8 +93,8 @@
     }
   }
 
-  private void add(Lane lane, Runnable body) {
-    queue.add(new Task(lane, lastNumber.incrementAndGet(), clock.millis(), body));
+  private void enqueue(Lane lane, Runnable body) {
+    queue.add(new Task(lane, lastSequence.incrementAndGet(), clock.millis(), body));
   }
 
   private void run() {
@@ -102,12 +102,12 @@
     while (!stopped) {
       long now = clock.millis();
       if (now >= nextTick) {
-        runWaitingControl();
-        guarded(tick);
-        nextTick = now + TICK_MILLIS;
+        runQueuedControlTasks();
+        runSafely(tick);
+        nextTick = now + TICK_INTERVAL_MILLIS;
       }
       runSlice(nextTick - now);
-      guarded(flush);
+      runSafely(flush);
     }
   }
 
@@ -117,27 +117,27 @@
    * <p>A tick judges who is silent. Where this thread was late, what the others have sent is here
    * and not handled yet; judged before it, the delay would count as theirs.
    */
-  private void runWaitingControl() {
+  private void runQueuedControlTasks() {
     runDeferred();
-    long end = clock.millis() + SLICE_MILLIS;
+    long end = clock.millis() + MAX_SLICE_MILLIS;
     Task first = queue.peek();
     while (first != null && first.lane == Lane.CONTROL && clock.millis() < end) {
       // No other thread takes tasks, and one added meanwhile that goes first is of control too.
-      begin(queue.remove());
+      runTask(queue.remove());
       first = queue.peek();
     }
   }
 
   private void runSlice(long waitMillis) {
-    Optional<Task> next = await(waitMillis);
-    long end = clock.millis() + SLICE_MILLIS;
+    Optional<Task> next = awaitTask(waitMillis);
+    long end = clock.millis() + MAX_SLICE_MILLIS;
     while (next.isPresent()) {
-      begin(next.get());
+      runTask(next.get());
       next = clock.millis() < end ? Optional.ofNullable(queue.poll()) : Optional.empty();
     }
   }
 
-  private Optional<Task> await(long waitMillis) {
+  private Optional<Task> awaitTask(long waitMillis) {
     try {
       return Optional.ofNullable(queue.poll(Math.max(0, waitMillis), TimeUnit.MILLISECONDS));
     } catch (InterruptedException e) {
@@ -148,21 +148,21 @@
   }
 
   private void runDeferred() {
-    for (Runnable task = deferred.poll(); task != null; task = deferred.poll()) {
-      guarded(task);
+    for (Runnable task = deferredTasks.poll(); task != null; task = deferredTasks.poll()) {
+      runSafely(task);
     }
   }
 
-  private void begin(Task task) {
+  private void runTask(Task task) {
     runDeferred();
     long now = clock.millis();
-    WaitMeter waits = task.lane == Lane.CONTROL ? controlWaits : workWaits;
-    waits.waited(now - task.queuedAt, queue.size(), now);
-    guarded(task.body);
+    WaitMeter waits = task.lane == Lane.CONTROL ? controlWaitMeter : workWaitMeter;
+    waits.recordWait(now - task.queuedAt, queue.size(), now);
+    runSafely(task.action);
   }
 
   /** Runs a task; a defect in one event must not end the host's whole control. */
-  private void guarded(Runnable task) {
+  private void runSafely(Runnable task) {
     try {
       task.run();
     } catch (RuntimeException e) {
@@ -176,11 +176,11 @@
     WORK
   }
 
-  private record Task(Lane lane, long number, long queuedAt, Runnable body)
+  private record Task(Lane lane, long sequence, long queuedAt, Runnable action)
       implements Comparable<Task> {
 
     private static final Comparator<Task> ORDER =
-        Comparator.comparing(Task::lane).thenComparingLong(Task::number);
+        Comparator.comparing(Task::lane).thenComparingLong(Task::sequence);
 
     @Override
     public int compareTo(Task other) {
--- a/burdockbay-server/src/main/java/org/burdockbay/server/host/DispatchDriver.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/host/DispatchDriver.java
@@ -21,7 +21,7 @@
   private final ProposalClient proposals;
   private final PeerSender sender;
   private final RunnerListener listener;
-  private final LongConsumer outranked;
+  private final LongConsumer onSuperseded;
 
   DispatchDriver(
       HostParts parts,
@@ -35,7 +35,7 @@
     this.proposals = proposals;
     this.sender = sender;
     this.listener = listener;
-    this.outranked = outranked;
+    this.onSuperseded = outranked;
   }
 
   Dispatcher dispatcher() {
@@ -44,13 +44,13 @@
 
   void handle(DispatchEvent event) {
     List<DispatchEffect> effects = dispatcher.handle(event, parts.clock().millis());
-    effects.forEach(this::carryOut);
+    effects.forEach(this::execute);
   }
 
-  private void carryOut(DispatchEffect effect) {
+  private void execute(DispatchEffect effect) {
     switch (effect) {
       case DispatchEffect.StartAttempt start -> parts.runners().start(start, listener);
-      case DispatchEffect.QueryAttempt ask -> parts.runners().ask(ask, listener);
+      case DispatchEffect.QueryAttempt ask -> parts.runners().query(ask, listener);
       case DispatchEffect.CancelAttempts cancel -> parts.runners().cancel(cancel);
       case DispatchEffect.FenceRunner fence ->
           parts.runners().fence(fence, parts.settings().domain(), listener);
@@ -64,9 +64,9 @@
       case DispatchEffect.ReturnJob returned ->
           sender.send(returned.host(), new PeerMessage.ReturnJob(returned.key()));
       case DispatchEffect.ProposeLedger propose -> propose(propose.request());
-      case DispatchEffect.StepDown stepDown -> outranked.accept(stepDown.higherEpoch());
+      case DispatchEffect.StepDown stepDown -> onSuperseded.accept(stepDown.higherEpoch());
       case DispatchEffect.LogEvent note -> {
-        parts.metrics().event(note.event());
+        parts.metrics().countEvent(note.event());
         parts.log().info(note.event(), note.fields());
       }
     }
--- a/burdockbay-server/src/main/java/org/burdockbay/server/host/EntryDriver.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/host/EntryDriver.java
@@ -17,7 +17,7 @@
   private final HostParts parts;
   private final EntryGateway gateway;
   private final PeerSender sender;
-  private final Map<Long, CompletableFuture<JobOutcome>> tickets = new HashMap<>();
+  private final Map<Long, CompletableFuture<JobOutcome>> pendingRequests = new HashMap<>();
   private long lastTicket;
 
   EntryDriver(HostParts parts, EntryGateway gateway, PeerSender sender) {
@@ -27,22 +27,22 @@
   }
 
   /** Hands an event with a new ticket to the gateway; the answer completes the future. */
-  void open(LongFunction<EntryEvent> event, CompletableFuture<JobOutcome> answer) {
+  void handleRequest(LongFunction<EntryEvent> event, CompletableFuture<JobOutcome> answer) {
     long ticket = ++lastTicket;
-    tickets.put(ticket, answer);
+    pendingRequests.put(ticket, answer);
     handle(event.apply(ticket));
   }
 
   void handle(EntryEvent event) {
     List<EntryEffect> effects = gateway.handle(event, parts.clock().millis());
-    effects.forEach(this::carryOut);
+    effects.forEach(this::execute);
   }
 
-  int waiting() {
-    return tickets.size();
+  int waitingRequests() {
+    return pendingRequests.size();
   }
 
-  private void carryOut(EntryEffect effect) {
+  private void execute(EntryEffect effect) {
     switch (effect) {
       case EntryEffect.SendJob send ->
           sender.send(send.host(), new PeerMessage.SubmitJob(send.request(), send.arrival()));
@@ -51,7 +51,7 @@
       case EntryEffect.SendCancel cancel ->
           sender.send(cancel.host(), new PeerMessage.CancelJob(cancel.key()));
       case EntryEffect.Answer answer -> {
-        CompletableFuture<JobOutcome> waiting = tickets.remove(answer.ticket());
+        CompletableFuture<JobOutcome> waiting = pendingRequests.remove(answer.ticket());
         if (waiting != null) {
           // Completed on a traffic thread, so that writing answers doesn't hold up control.
           waiting.completeAsync(answer::outcome);
--- a/burdockbay-server/src/main/java/org/burdockbay/server/host/HostController.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/host/HostController.java
@@ -45,25 +45,25 @@
  */
 public final class HostController implements PeerListener, RunnerListener, AutoCloseable {
 
-  private static final long HEARTBEAT_MILLIS = 250;
-  private static final long RECONCILE_MILLIS = 500;
-  private static final long MEMBERSHIP_MILLIS = 100;
+  private static final long HEARTBEAT_INTERVAL_MILLIS = 250;
+  private static final long RECONCILE_INTERVAL_MILLIS = 500;
+  private static final long MEMBERSHIP_INTERVAL_MILLIS = 100;
 
   private final HostParts parts;
   private final String self;
   private final ConfigurationKeeper configuration;
   private final Membership membership;
-  private final EntryDriver entry;
-  private final DispatchDriver dispatch;
+  private final EntryDriver entryDriver;
+  private final DispatchDriver dispatchDriver;
   private final ProposalClient proposals;
   private final VoterKeeper voters;
   private final Optional<AgreementDriver> agreement;
   private final long storageIncarnation;
   private volatile DispatcherView dispatcherView = new DispatcherView(0, false);
-  private long membershipAt;
-  private long heartbeatAt;
-  private long reconcileAt;
-  private long fetchAt;
+  private long nextMembershipTickAt;
+  private long nextHeartbeatAt;
+  private long nextReconciliationAt;
+  private long nextFetchAt;
 
   /**
    * Creates the parts of the host.
@@ -78,12 +78,15 @@
     this.configuration = configuration;
     long now = parts.clock().millis();
     this.membership = new Membership(self, parts.settings().domainByHost(), now);
-    Optional<AgreementStorage> storage = AgreementStorage.open(parts, this::onStorage);
+    Optional<AgreementStorage> storage = AgreementStorage.open(parts, this::onStorageEvent);
     this.storageIncarnation = storage.map(AgreementStorage::incarnation).orElse(0L);
-    this.agreement = storage.map(opened -> opened.driver(parts, this::sendRaft, this::configured));
+    this.agreement =
+        storage.map(
+            opened -> opened.createDriver(parts, this::sendRaft, this::configurationAgreed));
     this.proposals = new ProposalClient(parts.clock(), agreement, this::leader, this::send);
-    this.entry = new EntryDriver(parts, new EntryGateway(parts.settings().domain()), this::send);
-    this.dispatch =
+    this.entryDriver =
+        new EntryDriver(parts, new EntryGateway(parts.settings().domain()), this::send);
+    this.dispatchDriver =
         new DispatchDriver(
             parts,
             new Dispatcher(parts.settings().domain()),
@@ -91,7 +94,7 @@
             this::send,
             this,
             this::stepDown);
-    this.voters = new VoterKeeper(parts.settings().voterHosts().size(), host -> false, parts.log());
+    this.voters = new VoterKeeper(parts.settings().voterIds().size(), host -> false, parts.log());
   }
 
   /**
@@ -108,58 +111,60 @@
 
   /** Submits a job; the future gets its final answer. */
   public CompletableFuture<JobOutcome> submit(JobRequest request, boolean guarded) {
-    return ask(ticket -> new EntryEvent.Submitted(ticket, request, guarded));
+    return request(ticket -> new EntryEvent.Submitted(ticket, request, guarded));
   }
 
   /** Asks for the outcome of a submission, for at most the given time in milliseconds. */
   public CompletableFuture<JobOutcome> follow(SubmissionKey key, long waitMillis) {
-    return ask(ticket -> new EntryEvent.Followed(ticket, key, waitMillis));
+    return request(ticket -> new EntryEvent.Followed(ticket, key, waitMillis));
   }
 
   /** Cancels a submission and asks for its outcome. */
   public CompletableFuture<JobOutcome> cancel(SubmissionKey key, long waitMillis) {
-    return ask(ticket -> new EntryEvent.Cancelled(ticket, key, waitMillis));
+    return request(ticket -> new EntryEvent.Cancelled(ticket, key, waitMillis));
   }
 
   /** Takes a runner's announcement. */
-  public void announce(RunnerAnnouncement announcement) {
-    onControl(() -> dispatch.handle(new DispatchEvent.RunnerAnnounced(announcement)));
+  public void runnerAnnounced(RunnerAnnouncement announcement) {
+    executeControl(() -> dispatchDriver.handle(new DispatchEvent.RunnerAnnounced(announcement)));
   }
 
   /** Proposes a configuration. */
-  public CompletableFuture<ControlReply> apply(ControlCommand.ApplyConfiguration command) {
+  public CompletableFuture<ControlReply> applyConfiguration(
+      ControlCommand.ApplyConfiguration command) {
     CompletableFuture<ControlReply> reply = new CompletableFuture<>();
-    onControl(() -> proposals.propose(command, answer -> reply.completeAsync(() -> answer)));
+    executeControl(() -> proposals.propose(command, answer -> reply.completeAsync(() -> answer)));
     return reply;
   }
 
   /** Returns a report on this host. */
   public CompletableFuture<HostReport> report() {
-    return call(this::makeReport);
+    return query(this::buildReport);
   }
 
   /** Returns the versions of the configuration that are kept here; empty without a data folder. */
-  public CompletableFuture<List<ControlImage.ConfigurationVersion>> history() {
-    return call(() -> agreement.map(driver -> driver.state().history()).orElse(List.of()));
+  public CompletableFuture<List<ControlImage.ConfigurationVersion>> configurationHistory() {
+    return query(() -> agreement.map(driver -> driver.state().history()).orElse(List.of()));
   }
 
   /** Begins a planned stop; the host goes on until nothing is in flight. */
   public void drain() {
-    onControl(
+    executeControl(
         () -> {
           parts.log().info("drain-begun", "");
-          run(membership.drain(parts.clock().millis()));
+          execute(membership.drain(parts.clock().millis()));
           agreement.ifPresent(AgreementDriver::transferLeadership);
-          heartbeat();
+          sendHeartbeats();
         });
   }
 
   /** Returns the number of requests and jobs that are in flight here. */
-  public CompletableFuture<Integer> inFlight() {
-    return call(
+  public CompletableFuture<Integer> inFlightCount() {
+    return query(
         () -> {
           agreement.ifPresent(AgreementDriver::transferLeadership);
-          return entry.waiting() + dispatch.dispatcher().snapshot().unfinishedJobs();
+          return entryDriver.waitingRequests()
+              + dispatchDriver.dispatcher().snapshot().unfinishedJobs();
         });
   }
 
@@ -174,33 +179,36 @@
   }
 
   @Override
-  public void received(String host, PeerMessage message) {
-    onControl(() -> handle(host, message));
+  public void messageReceived(String host, PeerMessage message) {
+    executeControl(() -> handle(host, message));
   }
 
   @Override
-  public void reset(String host) {
-    onControl(() -> entry.handle(new EntryEvent.PeerReset(host)));
+  public void connectionOpened(String host) {
+    executeControl(() -> entryDriver.handle(new EntryEvent.PeerReset(host)));
   }
 
   @Override
-  public void ended(AttemptId attempt, RunnerId runner, AttemptOutcome outcome) {
-    onControl(() -> dispatch.handle(new DispatchEvent.AttemptEnded(attempt, runner, outcome)));
+  public void attemptEnded(AttemptId attempt, RunnerId runner, AttemptOutcome outcome) {
+    executeControl(
+        () -> dispatchDriver.handle(new DispatchEvent.AttemptEnded(attempt, runner, outcome)));
   }
 
   @Override
-  public void asked(AttemptId attempt, RunnerId runner, AttemptStatus status) {
-    onControl(() -> dispatch.handle(new DispatchEvent.AttemptQueried(attempt, runner, status)));
+  public void attemptQueried(AttemptId attempt, RunnerId runner, AttemptStatus status) {
+    executeControl(
+        () -> dispatchDriver.handle(new DispatchEvent.AttemptQueried(attempt, runner, status)));
   }
 
   @Override
-  public void inventoried(RunnerId runner, long epoch, List<AttemptReport> attempts) {
-    onControl(() -> dispatch.handle(new DispatchEvent.RunnerFenced(runner, epoch, attempts)));
+  public void runnerFenced(RunnerId runner, long epoch, List<AttemptReport> attempts) {
+    executeControl(
+        () -> dispatchDriver.handle(new DispatchEvent.RunnerFenced(runner, epoch, attempts)));
   }
 
   @Override
-  public void outranked(long epoch) {
-    onControl(() -> stepDown(epoch));
+  public void epochSuperseded(long epoch) {
+    executeControl(() -> stepDown(epoch));
   }
 
   @Override
@@ -210,15 +218,15 @@
     parts.transport().close();
   }
 
-  private CompletableFuture<JobOutcome> ask(java.util.function.LongFunction<EntryEvent> event) {
+  private CompletableFuture<JobOutcome> request(java.util.function.LongFunction<EntryEvent> event) {
     CompletableFuture<JobOutcome> answer = new CompletableFuture<>();
-    onControl(() -> entry.open(event, answer));
+    executeControl(() -> entryDriver.handleRequest(event, answer));
     return answer;
   }
 
-  private <T> CompletableFuture<T> call(Supplier<T> question) {
+  private <T> CompletableFuture<T> query(Supplier<T> question) {
     CompletableFuture<T> answer = new CompletableFuture<>();
-    onControl(
+    executeControl(
         () -> {
           T value = question.get();
           answer.completeAsync(() -> value);
@@ -226,12 +234,12 @@
     return answer;
   }
 
-  private void onControl(Runnable task) {
+  private void executeControl(Runnable task) {
     parts.thread().execute(task);
   }
 
-  private void onStorage(AgreementStorage.Event event) {
-    onControl(
+  private void onStorageEvent(AgreementStorage.Event event) {
+    executeControl(
         () ->
             agreement.ifPresent(
                 driver -> {
@@ -245,14 +253,14 @@
 
   private void handle(String host, PeerMessage message) {
     switch (message) {
-      case PeerMessage.Heartbeat heartbeat -> heard(heartbeat.status());
+      case PeerMessage.Heartbeat heartbeat -> handleHeartbeat(heartbeat.status());
       case PeerMessage.Agreement received ->
           agreement
               .filter(driver -> received.group().equals(GroupId.CONTROL))
               .ifPresent(driver -> driver.receive(received.message()));
-      case PeerMessage.Propose propose -> proposed(host, propose);
+      case PeerMessage.Propose propose -> handleProposal(host, propose);
       case PeerMessage.Proposed proposed ->
-          proposals.answered(proposed.requestId(), proposed.reply());
+          proposals.handleReply(proposed.requestId(), proposed.reply());
       case PeerMessage.FetchConfiguration fetch -> {
         DispatchConfiguration current = configuration.current();
         if (current.version() > fetch.knownVersion()) {
@@ -260,47 +268,49 @@
         }
       }
       case PeerMessage.ConfigurationText text ->
-          configuration.offer(text.version(), text.text(), this::inForce);
+          configuration.offer(text.version(), text.text(), this::configurationInForce);
       case PeerMessage.SubmitJob submit ->
-          dispatch.handle(new DispatchEvent.JobSubmitted(submit.request(), host, submit.arrival()));
+          dispatchDriver.handle(
+              new DispatchEvent.JobSubmitted(submit.request(), host, submit.arrival()));
       case PeerMessage.FollowJob follow ->
-          dispatch.handle(new DispatchEvent.JobFollowed(follow.key(), host));
+          dispatchDriver.handle(new DispatchEvent.JobFollowed(follow.key(), host));
       case PeerMessage.CancelJob cancel ->
-          dispatch.handle(new DispatchEvent.JobCancelled(cancel.key(), host));
+          dispatchDriver.handle(new DispatchEvent.JobCancelled(cancel.key(), host));
       case PeerMessage.ReportJob report ->
-          entry.handle(new EntryEvent.Reported(report.key(), report.digest(), report.outcome()));
+          entryDriver.handle(
+              new EntryEvent.Reported(report.key(), report.digest(), report.outcome()));
       case PeerMessage.RedirectJob redirect ->
-          entry.handle(new EntryEvent.Redirected(redirect.key(), redirect.domain()));
+          entryDriver.handle(new EntryEvent.Redirected(redirect.key(), redirect.domain()));
       case PeerMessage.ReturnJob returned ->
-          entry.handle(new EntryEvent.Returned(returned.key(), host));
-      case PeerMessage.SubmitWork work -> ignored(host, message);
-      case PeerMessage.CancelWork cancel -> ignored(host, message);
-      case PeerMessage.ReportWork report -> ignored(host, message);
-      case PeerMessage.UpstreamNews news -> ignored(host, message);
-      case PeerMessage.KnownHosts known -> ignored(host, message);
-      case PeerMessage.FetchCatalogPart fetch -> ignored(host, message);
-      case PeerMessage.SendCatalogPart send -> ignored(host, message);
+          entryDriver.handle(new EntryEvent.Returned(returned.key(), host));
+      case PeerMessage.SubmitWork work -> logIgnored(host, message);
+      case PeerMessage.CancelWork cancel -> logIgnored(host, message);
+      case PeerMessage.ReportWork report -> logIgnored(host, message);
+      case PeerMessage.UpstreamNews news -> logIgnored(host, message);
+      case PeerMessage.KnownHosts known -> logIgnored(host, message);
+      case PeerMessage.FetchCatalogPart fetch -> logIgnored(host, message);
+      case PeerMessage.SendCatalogPart send -> logIgnored(host, message);
     }
   }
 
   /** Notes a message of hosts that serve leased upstreams; this kind of host has no use for it. */
-  private void ignored(String host, PeerMessage message) {
+  private void logIgnored(String host, PeerMessage message) {
     parts
         .log()
         .warn("message-ignored", "from=" + host + " kind=" + message.getClass().getSimpleName());
   }
 
-  private void heard(HostStatus status) {
-    run(membership.heartbeat(status, parts.clock().millis()));
+  private void handleHeartbeat(HostStatus status) {
+    execute(membership.heartbeat(status, parts.clock().millis()));
     long now = parts.clock().millis();
-    if (status.configurationVersion() > configuration.current().version() && now >= fetchAt) {
-      fetchAt = now + HEARTBEAT_MILLIS;
+    if (status.configurationVersion() > configuration.current().version() && now >= nextFetchAt) {
+      nextFetchAt = now + HEARTBEAT_INTERVAL_MILLIS;
       send(status.host(), new PeerMessage.FetchConfiguration(configuration.current().version()));
     }
   }
 
-  private void proposed(String host, PeerMessage.Propose propose) {
-    if (agreement.isPresent() && agreement.get().leads()) {
+  private void handleProposal(String host, PeerMessage.Propose propose) {
+    if (agreement.isPresent() && agreement.get().isLeader()) {
       agreement
           .get()
           .propose(
@@ -311,19 +321,19 @@
     }
   }
 
-  private void run(List<MembershipEffect> effects) {
+  private void execute(List<MembershipEffect> effects) {
     for (MembershipEffect effect : effects) {
       switch (effect) {
         case MembershipEffect.Claim claim -> {
-          dispatch.handle(new DispatchEvent.EpochGranted(claim.epoch()));
-          heartbeat();
+          dispatchDriver.handle(new DispatchEvent.EpochGranted(claim.epoch()));
+          sendHeartbeats();
         }
         case MembershipEffect.Yield yield -> {
-          dispatch.handle(new DispatchEvent.EpochLost());
-          heartbeat();
+          dispatchDriver.handle(new DispatchEvent.EpochLost());
+          sendHeartbeats();
         }
         case MembershipEffect.RoutesChanged routes ->
-            entry.handle(new EntryEvent.RoutesChanged(routes.view()));
+            entryDriver.handle(new EntryEvent.RoutesChanged(routes.view()));
         case MembershipEffect.LayoutChanged changed -> {
           // Hosts of a fixed list never divide the fleet.
         }
@@ -336,44 +346,44 @@
   }
 
   private void stepDown(long higherEpoch) {
-    run(membership.handleHigherEpoch(higherEpoch, parts.clock().millis()));
+    execute(membership.handleHigherEpoch(higherEpoch, parts.clock().millis()));
   }
 
-  private void configured(ControlImage.ConfigurationVersion version) {
+  private void configurationAgreed(ControlImage.ConfigurationVersion version) {
     if (version.version() <= configuration.current().version()) {
       return;
     }
-    configuration.offer(version.version(), version.text(), this::inForce);
+    configuration.offer(version.version(), version.text(), this::configurationInForce);
   }
 
-  private void inForce(DispatchConfiguration changed) {
-    dispatch.handle(new DispatchEvent.ConfigurationChanged(changed));
-    heartbeat();
+  private void configurationInForce(DispatchConfiguration changed) {
+    dispatchDriver.handle(new DispatchEvent.ConfigurationChanged(changed));
+    sendHeartbeats();
   }
 
   private void tick() {
     long now = parts.clock().millis();
     agreement.ifPresent(AgreementDriver::tick);
-    if (now >= membershipAt) {
-      membershipAt = now + MEMBERSHIP_MILLIS;
-      run(membership.tick(now));
+    if (now >= nextMembershipTickAt) {
+      nextMembershipTickAt = now + MEMBERSHIP_INTERVAL_MILLIS;
+      execute(membership.tick(now));
     }
-    dispatch.handle(new DispatchEvent.Tick());
-    entry.handle(new EntryEvent.Tick());
+    dispatchDriver.handle(new DispatchEvent.Tick());
+    entryDriver.handle(new EntryEvent.Tick());
     proposals.tick();
-    if (now >= heartbeatAt) {
-      heartbeat();
+    if (now >= nextHeartbeatAt) {
+      sendHeartbeats();
     }
-    if (now >= reconcileAt) {
-      reconcileAt = now + RECONCILE_MILLIS;
+    if (now >= nextReconciliationAt) {
+      nextReconciliationAt = now + RECONCILE_INTERVAL_MILLIS;
       agreement
-          .filter(AgreementDriver::leads)
+          .filter(AgreementDriver::isLeader)
           .ifPresent(driver -> voters.reconcile(driver.node(), voterStatuses(), now));
     }
   }
 
   private List<HostStatus> voterStatuses() {
-    return parts.settings().voterHosts().stream()
+    return parts.settings().voterIds().stream()
         .flatMap(host -> membership.status(host).stream())
         .toList();
   }
@@ -382,16 +392,16 @@
     agreement.ifPresent(AgreementDriver::flush);
   }
 
-  private void heartbeat() {
-    heartbeatAt = parts.clock().millis() + HEARTBEAT_MILLIS;
+  private void sendHeartbeats() {
+    nextHeartbeatAt = parts.clock().millis() + HEARTBEAT_INTERVAL_MILLIS;
     HostStatus status = status();
     for (PeerSettings peer : parts.settings().peers()) {
       parts.transport().send(peer.id(), new PeerMessage.Heartbeat(status));
     }
-    dispatch.handle(new DispatchEvent.DomainLoadsReported(otherLoads()));
+    dispatchDriver.handle(new DispatchEvent.DomainLoadsReported(otherDomainLoads()));
   }
 
-  private Map<String, DomainLoad> otherLoads() {
+  private Map<String, DomainLoad> otherDomainLoads() {
     Map<String, DomainLoad> loads = new HashMap<>();
     for (HostStatus status : membership.liveHosts()) {
       boolean other = !status.domain().equals(parts.settings().domain());
@@ -413,7 +423,7 @@
         membership.highestEpoch(),
         membership.isDraining(),
         leader().orElse(""),
-        dispatch.dispatcher().load());
+        dispatchDriver.dispatcher().load());
   }
 
   private Optional<String> leader() {
@@ -433,7 +443,7 @@
 
   private void send(String host, PeerMessage message) {
     if (host.equals(self)) {
-      onControl(() -> handle(self, message));
+      executeControl(() -> handle(self, message));
     } else {
       parts.transport().send(host, message);
     }
@@ -443,13 +453,13 @@
     send(host, new PeerMessage.Agreement(GroupId.CONTROL, message));
   }
 
-  private HostReport makeReport() {
+  private HostReport buildReport() {
     return new HostReport(
         status(),
         List.copyOf(membership.liveHosts()),
-        dispatch.dispatcher().snapshot(),
+        dispatchDriver.dispatcher().snapshot(),
         agreement.map(HostReport.AgreementReport::of),
-        entry.waiting(),
+        entryDriver.waitingRequests(),
         parts.thread().backlog());
   }
 
--- a/burdockbay-server/src/main/java/org/burdockbay/server/host/ProposalClient.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/host/ProposalClient.java
@@ -20,16 +20,16 @@
  */
 public final class ProposalClient {
 
-  private static final long GIVE_UP_MILLIS = 3_000;
-  private static final long ANSWER_MILLIS = 1_000;
-  private static final long AGAIN_MILLIS = 50;
+  private static final long PROPOSAL_TIMEOUT_MILLIS = 3_000;
+  private static final long REPLY_TIMEOUT_MILLIS = 1_000;
+  private static final long RETRY_INTERVAL_MILLIS = 50;
 
   private final Clock clock;
-  private final Optional<AgreementDriver> driver;
+  private final Optional<AgreementDriver> agreement;
   private final Supplier<Optional<String>> leader;
   private final PeerSender sender;
   private final Map<Long, Proposal> proposals = new HashMap<>();
-  private long lastId;
+  private long lastRequestId;
 
   /**
    * Creates a client.
@@ -43,27 +43,27 @@
       Supplier<Optional<String>> leader,
       PeerSender sender) {
     this.clock = clock;
-    this.driver = driver;
+    this.agreement = driver;
     this.leader = leader;
     this.sender = sender;
   }
 
   /** Proposes a command; the callback gets the reply, or {@link ControlReply.Unavailable}. */
   public void propose(ControlCommand command, Consumer<ControlReply> callback) {
-    long id = ++lastId;
-    Proposal proposal = new Proposal(command, callback, clock.millis() + GIVE_UP_MILLIS);
+    long id = ++lastRequestId;
+    Proposal proposal = new Proposal(command, callback, clock.millis() + PROPOSAL_TIMEOUT_MILLIS);
     proposals.put(id, proposal);
     send(id, proposal);
   }
 
   /** Handles the answer to a proposal of this host. */
-  public void answered(long id, ControlReply reply) {
+  public void handleReply(long id, ControlReply reply) {
     Proposal proposal = proposals.get(id);
     if (proposal == null) {
       return;
     }
-    if (reply instanceof ControlReply.Unavailable && clock.millis() < proposal.giveUpAt) {
-      proposal.againAt = clock.millis() + AGAIN_MILLIS;
+    if (reply instanceof ControlReply.Unavailable && clock.millis() < proposal.expiresAt) {
+      proposal.nextSendAt = clock.millis() + RETRY_INTERVAL_MILLIS;
       return;
     }
     proposals.remove(id);
@@ -76,13 +76,13 @@
     List<Long> due = new ArrayList<>();
     proposals.forEach(
         (id, proposal) -> {
-          if (now >= proposal.againAt || now >= proposal.giveUpAt) {
+          if (now >= proposal.nextSendAt || now >= proposal.expiresAt) {
             due.add(id);
           }
         });
     for (long id : due) {
       Proposal proposal = proposals.get(id);
-      if (proposal != null && now >= proposal.giveUpAt) {
+      if (proposal != null && now >= proposal.expiresAt) {
         proposals.remove(id);
         proposal.callback.accept(new ControlReply.Unavailable());
       } else if (proposal != null) {
@@ -92,16 +92,16 @@
   }
 
   private void send(long id, Proposal proposal) {
-    proposal.againAt = clock.millis() + ANSWER_MILLIS;
-    if (driver.isPresent() && driver.get().leads()) {
-      driver.get().propose(proposal.command, reply -> answered(id, reply));
+    proposal.nextSendAt = clock.millis() + REPLY_TIMEOUT_MILLIS;
+    if (agreement.isPresent() && agreement.get().isLeader()) {
+      agreement.get().propose(proposal.command, reply -> handleReply(id, reply));
       return;
     }
     Optional<String> target = leader.get();
     if (target.isPresent()) {
       sender.send(target.get(), new PeerMessage.Propose(id, proposal.command));
     } else {
-      proposal.againAt = clock.millis() + AGAIN_MILLIS;
+      proposal.nextSendAt = clock.millis() + RETRY_INTERVAL_MILLIS;
     }
   }
 
@@ -109,13 +109,13 @@
 
     private final ControlCommand command;
     private final Consumer<ControlReply> callback;
-    private final long giveUpAt;
-    private long againAt;
+    private final long expiresAt;
+    private long nextSendAt;
 
     Proposal(ControlCommand command, Consumer<ControlReply> callback, long giveUpAt) {
       this.command = command;
       this.callback = callback;
-      this.giveUpAt = giveUpAt;
+      this.expiresAt = giveUpAt;
     }
   }
 }
--- a/burdockbay-server/src/main/java/org/burdockbay/server/host/VoterKeeper.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/host/VoterKeeper.java
@@ -22,8 +22,8 @@
  */
 public final class VoterKeeper {
 
-  private final int wanted;
-  private final Predicate<String> lost;
+  private final int targetVoterCount;
+  private final Predicate<String> isReplaceable;
   private final EventLog log;
 
   /**
@@ -34,8 +34,8 @@
    *     replaced
    */
   public VoterKeeper(int wanted, Predicate<String> lost, EventLog log) {
-    this.wanted = wanted;
-    this.lost = lost;
+    this.targetVoterCount = wanted;
+    this.isReplaceable = lost;
     this.log = log;
   }
 
@@ -45,10 +45,10 @@
    * @param hosts the live hosts
    */
   public void reconcile(RaftNode node, List<HostStatus> hosts, long now) {
-    Optional<VoterSet> next = surplus(node.voters());
+    Optional<VoterSet> next = withoutSurplusVoter(node.voters());
     for (HostStatus host : hosts) {
       if (next.isEmpty() && host.storageIncarnation() != 0) {
-        next = next(node, new VoterId(host.host(), host.storageIncarnation()));
+        next = nextMembers(node, new VoterId(host.host(), host.storageIncarnation()));
       }
     }
     if (next.isPresent() && node.proposeMembers(next.get(), now)) {
@@ -57,18 +57,18 @@
     }
   }
 
-  private Optional<VoterSet> surplus(VoterSet members) {
-    if (members.voters().size() <= wanted) {
+  private Optional<VoterSet> withoutSurplusVoter(VoterSet members) {
+    if (members.voters().size() <= targetVoterCount) {
       return Optional.empty();
     }
-    return lostVoter(members).map(members::without);
+    return findReplaceableVoter(members).map(members::without);
   }
 
-  private Optional<VoterId> lostVoter(VoterSet members) {
-    return members.voters().stream().filter(voter -> lost.test(voter.host())).findFirst();
+  private Optional<VoterId> findReplaceableVoter(VoterSet members) {
+    return members.voters().stream().filter(voter -> isReplaceable.test(voter.host())).findFirst();
   }
 
-  private Optional<VoterSet> next(RaftNode node, VoterId present) {
+  private Optional<VoterSet> nextMembers(RaftNode node, VoterId present) {
     VoterSet members = node.voters();
     if (members.isVoter(present)) {
       return Optional.empty();
@@ -88,7 +88,8 @@
     if (!members.learners().contains(present)) {
       return Optional.of(members.withLearner(present));
     }
-    boolean needed = members.voters().size() < wanted || lostVoter(members).isPresent();
+    boolean needed =
+        members.voters().size() < targetVoterCount || findReplaceableVoter(members).isPresent();
     return needed && node.isCaughtUp(present)
         ? Optional.of(members.withVoter(present))
         : Optional.empty();
--- a/burdockbay-server/src/main/java/org/burdockbay/server/http/CallerApi.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/http/CallerApi.java
@@ -28,14 +28,14 @@
 public final class CallerApi {
 
   /** Header with the caller's submission id. */
-  public static final String KEY_HEADER = "Idempotency-Key";
+  public static final String IDEMPOTENCY_KEY_HEADER = "Idempotency-Key";
 
   /** Header with the time until which the answer is of use, in milliseconds from now. */
   public static final String DEADLINE_HEADER = "Burdockbay-Deadline-Ms";
 
-  private static final String KEY_PATTERN = "[\\x21-\\x7e]{1,200}";
-  private static final long LONGEST_WAIT_MILLIS = 3_600_000;
-  private static final long BUSY_RETRY_MILLIS = 500;
+  private static final String SUBMISSION_ID_PATTERN = "[\\x21-\\x7e]{1,200}";
+  private static final long MAX_WAIT_MILLIS = 3_600_000;
+  private static final long RETRY_AFTER_MILLIS = 500;
 
   private final HostController controller;
   private final HostSettings settings;
@@ -43,7 +43,7 @@
   private final Responder responder;
   private final ObjectMapper json;
   private final Clock clock;
-  private final AtomicInteger open = new AtomicInteger();
+  private final AtomicInteger waitingRequests = new AtomicInteger();
 
   /** Creates the API. */
   public CallerApi(
@@ -72,39 +72,40 @@
     DispatchConfiguration configuration = controller.configuration();
     if (configuration.version() == 0) {
       throw new ApiException(
-          ErrorKind.UNAVAILABLE, "this host has no configuration yet", BUSY_RETRY_MILLIS);
+          ErrorKind.UNAVAILABLE, "this host has no configuration yet", RETRY_AFTER_MILLIS);
     }
-    CallerRule caller = Credentials.caller(context, configuration);
-    JsonNode body = parse(context.body());
-    JobRule rule = rule(body, caller, configuration);
-    List<String> tasks = tasks(body, rule);
-    String key = context.header(KEY_HEADER);
+    CallerRule caller = Credentials.authenticateCaller(context, configuration);
+    JsonNode body = parseBody(context.body());
+    JobRule rule = jobRule(body, caller, configuration);
+    List<String> tasks = taskPayloads(body, rule);
+    String key = context.header(IDEMPOTENCY_KEY_HEADER);
     boolean keyed = key != null;
     JobRequest request =
         new JobRequest(
             new SubmissionKey(
-                caller.name(), keyed ? submission(key) : UUID.randomUUID().toString()),
+                caller.name(), keyed ? parseSubmissionId(key) : UUID.randomUUID().toString()),
             Credentials.sha256(rule.name() + "\n" + String.join("\n", tasks)),
             rule.name(),
             tasks,
-            remaining(context, rule),
+            remainingMillis(context, rule),
             keyed);
     long started = clock.millis();
     CompletableFuture<JobOutcome> answer = controller.submit(request, !rule.idempotent());
     answer.thenAccept(
-        outcome -> metrics.answered(caller.name(), rule.name(), outcome, clock.millis() - started));
-    respond(context, request.key(), answer, wait(context, request.remainingMillis()));
+        outcome ->
+            metrics.recordJob(caller.name(), rule.name(), outcome, clock.millis() - started));
+    respond(context, request.key(), answer, waitMillis(context, request.remainingMillis()));
   }
 
   private void follow(Context context) throws ApiException {
-    SubmissionKey key = key(context);
-    long wait = wait(context, 0);
+    SubmissionKey key = submissionKey(context);
+    long wait = waitMillis(context, 0);
     respond(context, key, controller.follow(key, wait), wait);
   }
 
   private void cancel(Context context) throws ApiException {
-    SubmissionKey key = key(context);
-    long wait = wait(context, 0);
+    SubmissionKey key = submissionKey(context);
+    long wait = waitMillis(context, 0);
     respond(context, key, controller.cancel(key, wait), wait);
   }
 
@@ -112,14 +113,14 @@
   private void respond(
       Context context, SubmissionKey key, CompletableFuture<JobOutcome> answer, long waitMillis)
       throws ApiException {
-    if (open.incrementAndGet() > settings.limits().openRequests()) {
-      open.decrementAndGet();
+    if (waitingRequests.incrementAndGet() > settings.limits().maxOpenRequests()) {
+      waitingRequests.decrementAndGet();
       // The submission itself goes on; only this request doesn't wait for it.
       throw new ApiException(
-          ErrorKind.UNAVAILABLE, "too many requests wait at this host", BUSY_RETRY_MILLIS);
+          ErrorKind.UNAVAILABLE, "too many requests wait at this host", RETRY_AFTER_MILLIS);
     }
     // A little longer than asked for, so that the core's own deadline answers first.
-    long patience = waitMillis + settings.drainMillis() / 10 + 500;
+    long patience = waitMillis + settings.drainTimeoutMillis() / 10 + 500;
     boolean untilDone =
         context.queryParam("wait") == null && context.method().name().equals("POST");
     CompletableFuture<JobOutcome> limited =
@@ -130,20 +131,21 @@
         () ->
             limited.handle(
                 (outcome, failure) -> {
-                  open.decrementAndGet();
-                  write(context, key, outcome, failure);
+                  waitingRequests.decrementAndGet();
+                  writeOutcome(context, key, outcome, failure);
                   return null;
                 }));
   }
 
-  private void write(Context context, SubmissionKey key, JobOutcome outcome, Throwable failure) {
-    if (outcome != null && !stillRunning(context, outcome)) {
-      responder.outcome(context, key, outcome);
+  private void writeOutcome(
+      Context context, SubmissionKey key, JobOutcome outcome, Throwable failure) {
+    if (outcome != null && !isStillRunning(context, outcome)) {
+      responder.writeOutcome(context, key, outcome);
     } else if (failure == null || failure instanceof TimeoutException || isTimeout(failure)) {
       context.header("Location", "/v1/jobs/" + key.submission());
-      responder.json(context, 202, new Running(key.submission(), "running"));
+      responder.writeJson(context, 202, new Running(key.submission(), "running"));
     } else {
-      responder.problem(context, ErrorKind.INTERNAL, failure.toString(), 0, key.submission());
+      responder.writeProblem(context, ErrorKind.INTERNAL, failure.toString(), 0, key.submission());
     }
   }
 
@@ -152,18 +154,18 @@
   }
 
   /** Returns whether a follow or cancel ended because its wait was over. */
-  private static boolean stillRunning(Context context, JobOutcome outcome) {
+  private static boolean isStillRunning(Context context, JobOutcome outcome) {
     return !context.method().name().equals("POST")
         && outcome instanceof JobOutcome.Failed failed
         && failed.kind() == ErrorKind.UNAVAILABLE;
   }
 
-  private SubmissionKey key(Context context) throws ApiException {
-    CallerRule caller = Credentials.caller(context, controller.configuration());
-    return new SubmissionKey(caller.name(), submission(context.pathParam("submission")));
+  private SubmissionKey submissionKey(Context context) throws ApiException {
+    CallerRule caller = Credentials.authenticateCaller(context, controller.configuration());
+    return new SubmissionKey(caller.name(), parseSubmissionId(context.pathParam("submission")));
   }
 
-  private JsonNode parse(String body) throws ApiException {
+  private JsonNode parseBody(String body) throws ApiException {
     JsonNode node;
     try {
       node = json.readTree(body);
@@ -188,8 +190,8 @@
     return node;
   }
 
-  private static JobRule rule(JsonNode body, CallerRule caller, DispatchConfiguration configuration)
-      throws ApiException {
+  private static JobRule jobRule(
+      JsonNode body, CallerRule caller, DispatchConfiguration configuration) throws ApiException {
     JsonNode job = body.path("job");
     if (!job.isTextual()) {
       throw new ApiException(ErrorKind.BAD_REQUEST, "field 'job' is not a text");
@@ -208,7 +210,7 @@
     return rule;
   }
 
-  private static List<String> tasks(JsonNode body, JobRule rule) throws ApiException {
+  private static List<String> taskPayloads(JsonNode body, JobRule rule) throws ApiException {
     JsonNode tasks = body.path("tasks");
     if (!tasks.isArray() || tasks.isEmpty()) {
       throw new ApiException(ErrorKind.BAD_REQUEST, "field 'tasks' is not a list with a task");
@@ -223,33 +225,35 @@
     return payloads;
   }
 
-  private static String submission(String given) throws ApiException {
+  private static String parseSubmissionId(String given) throws ApiException {
     boolean quoted = given.length() > 2 && given.startsWith("\"") && given.endsWith("\"");
     String id = quoted ? given.substring(1, given.length() - 1) : given;
-    if (!id.matches(KEY_PATTERN)) {
+    if (!id.matches(SUBMISSION_ID_PATTERN)) {
       throw new ApiException(
           ErrorKind.BAD_REQUEST,
-          "header " + KEY_HEADER + " is not 1 to 200 printable characters without blanks");
+          "header "
+              + IDEMPOTENCY_KEY_HEADER
+              + " is not 1 to 200 printable characters without blanks");
     }
     return id;
   }
 
-  private static long remaining(Context context, JobRule rule) throws ApiException {
+  private static long remainingMillis(Context context, JobRule rule) throws ApiException {
     String header = context.header(DEADLINE_HEADER);
     return header == null
         ? rule.deadlineMillis()
-        : Math.min(rule.deadlineMillis(), number("header " + DEADLINE_HEADER, header, 1));
+        : Math.min(rule.deadlineMillis(), parseMillis("header " + DEADLINE_HEADER, header, 1));
   }
 
-  private static long wait(Context context, long otherwise) throws ApiException {
+  private static long waitMillis(Context context, long otherwise) throws ApiException {
     String wait = context.queryParam("wait");
-    return wait == null ? otherwise : number("parameter 'wait'", wait, 0);
+    return wait == null ? otherwise : parseMillis("parameter 'wait'", wait, 0);
   }
 
-  private static long number(String what, String text, long least) throws ApiException {
+  private static long parseMillis(String what, String text, long least) throws ApiException {
     try {
       long value = Long.parseLong(text);
-      if (value >= least && value <= LONGEST_WAIT_MILLIS) {
+      if (value >= least && value <= MAX_WAIT_MILLIS) {
         return value;
       }
     } catch (NumberFormatException e) {
@@ -257,7 +261,7 @@
     }
     throw new ApiException(
         ErrorKind.BAD_REQUEST,
-        what + " is not a number of milliseconds from " + least + " to " + LONGEST_WAIT_MILLIS);
+        what + " is not a number of milliseconds from " + least + " to " + MAX_WAIT_MILLIS);
   }
 
   /** The answer while a submission runs. */
--- a/burdockbay-server/src/main/java/org/burdockbay/server/http/Credentials.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/http/Credentials.java
@@ -12,7 +12,7 @@
 /** Checks bearer credentials, in constant time. */
 public final class Credentials {
 
-  private static final String BEARER = "Bearer ";
+  private static final String BEARER_PREFIX = "Bearer ";
 
   private Credentials() {}
 
@@ -26,9 +26,9 @@
     }
   }
 
-  static CallerRule caller(Context context, DispatchConfiguration configuration)
+  static CallerRule authenticateCaller(Context context, DispatchConfiguration configuration)
       throws ApiException {
-    byte[] given = sha256(bearer(context)).getBytes(StandardCharsets.US_ASCII);
+    byte[] given = sha256(bearerToken(context)).getBytes(StandardCharsets.US_ASCII);
     CallerRule found = null;
     // Every caller is compared, so the time tells nothing about which one matched.
     for (CallerRule caller : configuration.callers().values()) {
@@ -43,19 +43,19 @@
     return found;
   }
 
-  static void require(Context context, String token) throws ApiException {
-    byte[] given = bearer(context).getBytes(StandardCharsets.UTF_8);
+  static void requireToken(Context context, String token) throws ApiException {
+    byte[] given = bearerToken(context).getBytes(StandardCharsets.UTF_8);
     if (!MessageDigest.isEqual(given, token.getBytes(StandardCharsets.UTF_8))) {
       throw new ApiException(ErrorKind.UNAUTHENTICATED, "the credential is not known");
     }
   }
 
-  private static String bearer(Context context) throws ApiException {
+  private static String bearerToken(Context context) throws ApiException {
     String header = context.header("Authorization");
-    if (header == null || !header.startsWith(BEARER)) {
+    if (header == null || !header.startsWith(BEARER_PREFIX)) {
       throw new ApiException(
           ErrorKind.UNAUTHENTICATED, "the header 'Authorization: Bearer ...' is missing");
     }
-    return header.substring(BEARER.length()).strip();
+    return header.substring(BEARER_PREFIX.length()).strip();
   }
 }
--- a/burdockbay-server/src/main/java/org/burdockbay/server/http/StoppingHandler.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/http/GracefulStopHandler.java
@@ -10,13 +10,13 @@
 import org.eclipse.jetty.util.Callback;
 
 /** Lets a stopping server finish the answers in flight, and refuses what still arrives. */
-final class StoppingHandler extends GracefulHandler {
+final class GracefulStopHandler extends GracefulHandler {
 
-  private static final long RETRY_MILLIS = 1_000;
+  private static final long RETRY_AFTER_MILLIS = 1_000;
 
   private final Responder responder;
 
-  StoppingHandler(Responder responder) {
+  GracefulStopHandler(Responder responder) {
     this.responder = responder;
   }
 
@@ -28,9 +28,11 @@
     ErrorKind kind = ErrorKind.REFUSED;
     response.setStatus(kind.httpStatus());
     response.getHeaders().put(HttpHeader.CONTENT_TYPE, Responder.PROBLEM_JSON);
-    response.getHeaders().put(HttpHeader.RETRY_AFTER, Responder.retryAfterSeconds(RETRY_MILLIS));
+    response
+        .getHeaders()
+        .put(HttpHeader.RETRY_AFTER, Responder.retryAfterSeconds(RETRY_AFTER_MILLIS));
     response.getHeaders().put(HttpHeader.CONNECTION, HttpHeaderValue.CLOSE);
-    String problem = responder.problemText(kind, "this host is stopping", RETRY_MILLIS, "");
+    String problem = responder.problemJson(kind, "this host is stopping", RETRY_AFTER_MILLIS, "");
     Content.Sink.write(response, true, problem, callback);
     return true;
   }
--- a/burdockbay-server/src/main/java/org/burdockbay/server/http/HttpServer.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/http/HttpServer.java
@@ -24,9 +24,9 @@
 /** The HTTP server of a host: its routes, limits, and the table from error to answer. */
 public final class HttpServer implements AutoCloseable {
 
-  private static final int MOST_THREADS = 24;
-  private static final int LEAST_THREADS = 4;
-  private static final long NO_TIMEOUT = 0;
+  private static final int MAX_THREADS = 24;
+  private static final int MIN_THREADS = 4;
+  private static final long NO_TIMEOUT_MILLIS = 0;
 
   private final HostSettings settings;
   private final EventLog log;
@@ -42,50 +42,52 @@
       throws ServerException {
     this.settings = settings;
     this.log = log;
-    Optional<SslContextFactory.Server> tls = tls(settings);
+    Optional<SslContextFactory.Server> tls = sslContextFactory(settings);
     this.javalin =
         Javalin.create(
             config -> {
               config.startup.showJavalinBanner = false;
-              config.http.maxRequestSize = settings.limits().bodyBytes();
-              config.http.asyncTimeout = NO_TIMEOUT;
-              config.jetty.threadPool = new QueuedThreadPool(MOST_THREADS, LEAST_THREADS);
+              config.http.maxRequestSize = settings.limits().maxBodyBytes();
+              config.http.asyncTimeout = NO_TIMEOUT_MILLIS;
+              config.jetty.threadPool = new QueuedThreadPool(MAX_THREADS, MIN_THREADS);
               config.jetty.modifyServer(
-                  server -> server.setHandler(new StoppingHandler(responder)));
+                  server -> server.setHandler(new GracefulStopHandler(responder)));
               tls.ifPresent(
                   factory ->
                       config.jetty.addConnector(
-                          (server, http) -> connector(server, http, factory, settings)));
+                          (server, http) -> tlsConnector(server, http, factory, settings)));
               apis.forEach(api -> api.accept(config.routes));
               config.routes.exception(
                   ApiException.class,
                   (e, context) ->
-                      responder.problem(
+                      responder.writeProblem(
                           context, e.kind(), e.getMessage(), e.retryAfterMillis(), ""));
               config.routes.exception(
                   BurdockbayException.class,
-                  (e, context) -> responder.problem(context, e.kind(), e.getMessage(), 0, ""));
+                  (e, context) -> responder.writeProblem(context, e.kind(), e.getMessage(), 0, ""));
               config.routes.exception(
                   RuntimeException.class,
                   (e, context) -> {
                     log.error("http-defect", "path=" + context.path(), e);
-                    responder.problem(context, ErrorKind.INTERNAL, "a defect of this host", 0, "");
+                    responder.writeProblem(
+                        context, ErrorKind.INTERNAL, "a defect of this host", 0, "");
                   });
               config.routes.error(
                   404,
                   context -> {
                     String type = context.res().getContentType();
                     if (type == null || !type.startsWith(Responder.PROBLEM_JSON)) {
-                      responder.problem(context, ErrorKind.NOT_FOUND, "no such resource", 0, "");
+                      responder.writeProblem(
+                          context, ErrorKind.NOT_FOUND, "no such resource", 0, "");
                     }
                   });
               config.routes.error(
                   413,
                   context ->
-                      responder.problem(
+                      responder.writeProblem(
                           context,
                           ErrorKind.TOO_LARGE,
-                          "the body is over " + settings.limits().bodyBytes() + " bytes",
+                          "the body is over " + settings.limits().maxBodyBytes() + " bytes",
                           0,
                           ""));
             });
@@ -131,7 +133,7 @@
     javalin.stop();
   }
 
-  private static Optional<SslContextFactory.Server> tls(HostSettings settings)
+  private static Optional<SslContextFactory.Server> sslContextFactory(HostSettings settings)
       throws ServerException {
     if (settings.tls().isEmpty()) {
       return Optional.empty();
@@ -144,7 +146,7 @@
     return Optional.of(factory);
   }
 
-  private static ServerConnector connector(
+  private static ServerConnector tlsConnector(
       Server server,
       HttpConfiguration http,
       SslContextFactory.Server factory,
--- a/burdockbay-server/src/main/java/org/burdockbay/server/http/OperatorApi.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/http/OperatorApi.java
@@ -14,20 +14,20 @@
 import org.burdockbay.core.error.ErrorKind;
 import org.burdockbay.server.host.HostController;
 import org.burdockbay.server.metrics.HostMetrics;
-import org.burdockbay.server.metrics.ScrapeFormat;
+import org.burdockbay.server.metrics.MetricsTextFormat;
 import org.burdockbay.server.settings.HostSettings;
 
 /** Configuration, status and planned stops for operators, and metrics for scraping. */
 public final class OperatorApi {
 
-  private static final long RETRY_MILLIS = 1_000;
+  private static final long RETRY_AFTER_MILLIS = 1_000;
 
   private final HostController controller;
   private final HostSettings settings;
   private final HostMetrics metrics;
   private final Responder responder;
   private final ObjectMapper json;
-  private final Runnable drain;
+  private final Runnable startDrain;
 
   /**
    * Creates the API.
@@ -46,7 +46,7 @@
     this.metrics = metrics;
     this.responder = responder;
     this.json = json;
-    this.drain = drain;
+    this.startDrain = drain;
   }
 
   /** Adds the routes of this API. */
@@ -54,9 +54,9 @@
     routes.get("/ready", this::ready);
     routes.get("/metrics", this::scrape);
     routes.get("/v1/operator/status", this::status);
-    routes.get("/v1/operator/configuration", this::show);
-    routes.post("/v1/operator/configuration", this::apply);
-    routes.post("/v1/operator/configuration/check", this::check);
+    routes.get("/v1/operator/configuration", this::showConfiguration);
+    routes.post("/v1/operator/configuration", this::applyConfiguration);
+    routes.post("/v1/operator/configuration/check", this::checkConfiguration);
     routes.get("/v1/operator/history", this::history);
     routes.post("/v1/operator/drain", this::drain);
   }
@@ -68,12 +68,14 @@
   }
 
   private void scrape(Context context) throws ApiException {
-    Credentials.require(context, settings.operatorToken());
-    context.contentType("text/plain; version=0.0.4").result(ScrapeFormat.write(metrics.registry()));
+    Credentials.requireToken(context, settings.operatorToken());
+    context
+        .contentType("text/plain; version=0.0.4")
+        .result(MetricsTextFormat.format(metrics.registry()));
   }
 
   private void status(Context context) throws ApiException {
-    Credentials.require(context, settings.operatorToken());
+    Credentials.requireToken(context, settings.operatorToken());
     context.future(
         () ->
             controller
@@ -83,76 +85,79 @@
                       Map<String, Object> status = new LinkedHashMap<>();
                       status.put("report", report);
                       status.put("responseMillis", metrics.responseTimes());
-                      responder.json(context, 200, status);
+                      responder.writeJson(context, 200, status);
                     }));
   }
 
-  private void show(Context context) throws ApiException {
-    Credentials.require(context, settings.operatorToken());
+  private void showConfiguration(Context context) throws ApiException {
+    Credentials.requireToken(context, settings.operatorToken());
     DispatchConfiguration current = controller.configuration();
-    responder.json(context, 200, new Document(current.version(), current.text()));
+    responder.writeJson(context, 200, new Document(current.version(), current.text()));
   }
 
-  private void check(Context context) throws ApiException {
-    Credentials.require(context, settings.operatorToken());
-    validate(read(context).text());
+  private void checkConfiguration(Context context) throws ApiException {
+    Credentials.requireToken(context, settings.operatorToken());
+    validateConfiguration(readChange(context).text());
     context.status(204);
   }
 
-  private void apply(Context context) throws ApiException {
-    Credentials.require(context, settings.operatorToken());
-    Change change = read(context);
-    validate(change.text());
+  private void applyConfiguration(Context context) throws ApiException {
+    Credentials.requireToken(context, settings.operatorToken());
+    Change change = readChange(context);
+    validateConfiguration(change.text());
     if (change.changeId() == null || !change.changeId().matches("[\\x21-\\x7e]{1,100}")) {
       throw new ApiException(
           ErrorKind.BAD_REQUEST, "field 'changeId' is not 1 to 100 printable characters");
     }
     String operator = change.operator() == null ? "" : change.operator();
     CompletableFuture<ControlReply> reply =
-        controller.apply(
+        controller.applyConfiguration(
             new ControlCommand.ApplyConfiguration(
                 change.changeId(), operator, change.expectedVersion(), change.text()));
-    context.future(() -> reply.thenAccept(answer -> applied(context, answer)));
+    context.future(() -> reply.thenAccept(answer -> writeReply(context, answer)));
   }
 
-  private void applied(Context context, ControlReply reply) {
+  private void writeReply(Context context, ControlReply reply) {
     switch (reply) {
       case ControlReply.Accepted accepted ->
-          responder.json(context, 200, Map.of("version", accepted.version()));
+          responder.writeJson(context, 200, Map.of("version", accepted.version()));
       case ControlReply.VersionConflict conflict ->
-          responder.problem(
+          responder.writeProblem(
               context,
               ErrorKind.VERSION_CONFLICT,
               "the configuration is at version " + conflict.currentVersion(),
               0,
               "");
       case ControlReply.Unavailable unavailable ->
-          responder.problem(
+          responder.writeProblem(
               context,
               ErrorKind.UNAVAILABLE,
               "no quorum answered; send the same change id again to learn the outcome",
-              RETRY_MILLIS,
+              RETRY_AFTER_MILLIS,
               "");
       case ControlReply.LedgerResult ledger ->
-          responder.problem(context, ErrorKind.INTERNAL, "an answer of the ledger", 0, "");
+          responder.writeProblem(context, ErrorKind.INTERNAL, "an answer of the ledger", 0, "");
       case ControlReply.CatalogContent catalog ->
-          responder.problem(context, ErrorKind.INTERNAL, "an answer about the catalog", 0, "");
+          responder.writeProblem(context, ErrorKind.INTERNAL, "an answer about the catalog", 0, "");
     }
   }
 
   private void history(Context context) throws ApiException {
-    Credentials.require(context, settings.operatorToken());
+    Credentials.requireToken(context, settings.operatorToken());
     context.future(
-        () -> controller.history().thenAccept(kept -> responder.json(context, 200, kept)));
+        () ->
+            controller
+                .configurationHistory()
+                .thenAccept(kept -> responder.writeJson(context, 200, kept)));
   }
 
   private void drain(Context context) throws ApiException {
-    Credentials.require(context, settings.operatorToken());
-    drain.run();
+    Credentials.requireToken(context, settings.operatorToken());
+    startDrain.run();
     context.status(202);
   }
 
-  private Change read(Context context) throws ApiException {
+  private Change readChange(Context context) throws ApiException {
     Change change;
     try {
       change = json.readValue(context.body(), Change.class);
@@ -165,7 +170,7 @@
     return change;
   }
 
-  private static void validate(String text) throws ApiException {
+  private static void validateConfiguration(String text) throws ApiException {
     try {
       DispatchConfiguration.parse("document", 1, text);
     } catch (ConfigurationException e) {
--- a/burdockbay-server/src/main/java/org/burdockbay/server/http/PemKeyStore.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/http/PemKeyStore.java
@@ -30,8 +30,8 @@
    * @throws ServerException naming the file that can't be used
    */
   static KeyStore read(HostSettings.TlsFiles files) throws ServerException {
-    Certificate[] chain = certificates(files.certificate());
-    PrivateKey key = key(files.key(), chain[0].getPublicKey().getAlgorithm());
+    Certificate[] chain = readCertificates(files.certificate());
+    PrivateKey key = readKey(files.key(), chain[0].getPublicKey().getAlgorithm());
     try {
       KeyStore store = KeyStore.getInstance("PKCS12");
       store.load(null, NO_PASSWORD);
@@ -42,7 +42,7 @@
     }
   }
 
-  private static Certificate[] certificates(Path file) throws ServerException {
+  private static Certificate[] readCertificates(Path file) throws ServerException {
     try {
       byte[] bytes = Files.readAllBytes(file);
       Certificate[] chain =
@@ -58,7 +58,7 @@
     }
   }
 
-  private static PrivateKey key(Path file, String algorithm) throws ServerException {
+  private static PrivateKey readKey(Path file, String algorithm) throws ServerException {
     try {
       String text = Files.readString(file, StandardCharsets.US_ASCII);
       String body = text.replaceAll("-----[A-Z ]+-----", "").replaceAll("\\s", "");
--- a/burdockbay-server/src/main/java/org/burdockbay/server/http/Responder.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/http/Responder.java
@@ -26,12 +26,12 @@
   }
 
   /** Answers with a value as JSON. */
-  public void json(Context context, int status, Object value) {
-    context.status(status).contentType("application/json").result(text(value));
+  public void writeJson(Context context, int status, Object value) {
+    context.status(status).contentType("application/json").result(toJson(value));
   }
 
   /** Answers a submission with its final outcome. */
-  public void outcome(Context context, SubmissionKey key, JobOutcome outcome) {
+  public void writeOutcome(Context context, SubmissionKey key, JobOutcome outcome) {
     switch (outcome) {
       case JobOutcome.Completed completed ->
           // The answers are JSON text already; they go out as the runners gave them.
@@ -40,18 +40,18 @@
               .contentType("application/json")
               .result(
                   "{\"submission\":"
-                      + text(key.submission())
+                      + toJson(key.submission())
                       + ",\"status\":\"completed\",\"answers\":["
                       + String.join(",", completed.answers())
                       + "]}");
       case JobOutcome.Failed failed ->
-          problem(
+          writeProblem(
               context, failed.kind(), failed.detail(), failed.retryAfterMillis(), key.submission());
     }
   }
 
   /** Answers with an error. */
-  public void problem(
+  public void writeProblem(
       Context context, ErrorKind kind, String detail, long retryAfterMillis, String submission) {
     if (retryAfterMillis > 0) {
       context.header("Retry-After", retryAfterSeconds(retryAfterMillis));
@@ -59,11 +59,11 @@
     context
         .status(kind.httpStatus())
         .contentType(PROBLEM_JSON)
-        .result(problemText(kind, detail, retryAfterMillis, submission));
+        .result(problemJson(kind, detail, retryAfterMillis, submission));
   }
 
   /** Returns the document that describes an error. */
-  String problemText(ErrorKind kind, String detail, long retryAfterMillis, String submission) {
+  String problemJson(ErrorKind kind, String detail, long retryAfterMillis, String submission) {
     Map<String, Object> problem = new LinkedHashMap<>();
     problem.put("type", PROBLEM_TYPE + kind.code());
     problem.put("title", kind.code());
@@ -76,7 +76,7 @@
     if (retryAfterMillis > 0) {
       problem.put("retryAfterMillis", retryAfterMillis);
     }
-    return text(problem);
+    return toJson(problem);
   }
 
   /** Returns the value of the header that tells when to come back, in whole seconds. */
@@ -84,7 +84,7 @@
     return Long.toString((millis + MILLIS_PER_SECOND - 1) / MILLIS_PER_SECOND);
   }
 
-  private String text(Object value) {
+  private String toJson(Object value) {
     try {
       return json.writeValueAsString(value);
     } catch (JsonProcessingException e) {
--- a/burdockbay-server/src/main/java/org/burdockbay/server/http/RunnerApi.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/http/RunnerApi.java
@@ -18,9 +18,9 @@
 public final class RunnerApi {
 
   /** Time between two announcements that a runner should keep, in milliseconds. */
-  public static final long RENEW_MILLIS = 1_000;
+  public static final long ANNOUNCEMENT_INTERVAL_MILLIS = 1_000;
 
-  private static final int MOST_SLOTS = 10_000;
+  private static final int MAX_SLOTS = 10_000;
 
   private final HostController controller;
   private final HostSettings settings;
@@ -42,7 +42,7 @@
   }
 
   private void announce(Context context) throws ApiException {
-    Credentials.require(context, settings.runnerToken());
+    Credentials.requireToken(context, settings.runnerToken());
     RunnerMessages.Announce body;
     try {
       body = json.readValue(context.body(), RunnerMessages.Announce.class);
@@ -50,15 +50,18 @@
       throw new ApiException(
           ErrorKind.BAD_REQUEST, "not an announcement: " + e.getOriginalMessage());
     }
-    controller.announce(check(body));
-    responder.json(
+    controller.runnerAnnounced(toAnnouncement(body));
+    responder.writeJson(
         context,
         200,
         new RunnerMessages.Announced(
-            settings.id(), settings.domain(), controller.dispatcherView().epoch(), RENEW_MILLIS));
+            settings.id(),
+            settings.domain(),
+            controller.dispatcherView().epoch(),
+            ANNOUNCEMENT_INTERVAL_MILLIS));
   }
 
-  private RunnerAnnouncement check(RunnerMessages.Announce body) throws ApiException {
+  private RunnerAnnouncement toAnnouncement(RunnerMessages.Announce body) throws ApiException {
     require(
         body.runner() != null && body.runner().matches(DispatchSchema.NAME_PATTERN),
         "field 'runner' is not a name");
@@ -67,8 +70,8 @@
         "field 'address' is not http://IP:PORT");
     require(body.services() != null && !body.services().isEmpty(), "field 'services' is empty");
     require(
-        body.slots() >= 0 && body.slots() <= MOST_SLOTS,
-        "field 'slots' is not from 0 to " + MOST_SLOTS);
+        body.slots() >= 0 && body.slots() <= MAX_SLOTS,
+        "field 'slots' is not from 0 to " + MAX_SLOTS);
     require(
         settings.domain().equals(body.domain()),
         "field 'domain' is '" + body.domain() + "'; this host is in '" + settings.domain() + "'");
--- a/burdockbay-server/src/main/java/org/burdockbay/server/logging/BoundedConsoleWriter.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/logging/BoundedConsoleWriter.java
@@ -23,12 +23,12 @@
 public final class BoundedConsoleWriter extends AbstractFormatPatternWriter {
 
   /** Lines that may wait; at 200 bytes each they take less than a megabyte. */
-  private static final int MOST_WAITING = 4_096;
+  private static final int MAX_QUEUED_LINES = 4_096;
 
-  private static final int BATCH = 256;
+  private static final int MAX_BATCH_LINES = 256;
 
-  private final BlockingQueue<String> waiting = new ArrayBlockingQueue<>(MOST_WAITING);
-  private final AtomicLong dropped = new AtomicLong();
+  private final BlockingQueue<String> queue = new ArrayBlockingQueue<>(MAX_QUEUED_LINES);
+  private final AtomicLong droppedLines = new AtomicLong();
   private final PrintStream out = System.out;
   private final Thread thread;
 
@@ -47,15 +47,15 @@
 
   @Override
   public void write(LogEntry entry) {
-    if (!waiting.offer(render(entry))) {
-      dropped.incrementAndGet();
+    if (!queue.offer(render(entry))) {
+      droppedLines.incrementAndGet();
     }
   }
 
   @Override
   public void flush() {
     List<String> rest = new ArrayList<>();
-    waiting.drainTo(rest);
+    queue.drainTo(rest);
     print(rest);
   }
 
@@ -66,11 +66,11 @@
   }
 
   private void run() {
-    List<String> batch = new ArrayList<>(BATCH);
+    List<String> batch = new ArrayList<>(MAX_BATCH_LINES);
     try {
       while (true) {
-        batch.add(waiting.take());
-        waiting.drainTo(batch, BATCH - 1);
+        batch.add(queue.take());
+        queue.drainTo(batch, MAX_BATCH_LINES - 1);
         print(batch);
         batch.clear();
       }
@@ -80,7 +80,7 @@
   }
 
   private synchronized void print(List<String> lines) {
-    long lost = dropped.getAndSet(0);
+    long lost = droppedLines.getAndSet(0);
     StringBuilder text = new StringBuilder(String.join("", lines));
     if (lost > 0) {
       text.append("level=WARN event=log-lines-dropped count=").append(lost).append('\n');
--- a/burdockbay-server/src/main/java/org/burdockbay/server/logging/EventLog.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/logging/EventLog.java
@@ -18,17 +18,17 @@
 
   /** Writes an event of ordinary operation; {@code fields} are key=value pairs. */
   public void info(String event, String fields) {
-    Logger.info(line(event, fields));
+    Logger.info(formatLine(event, fields));
   }
 
   /** Writes an event that an operator should look at. */
   public void warn(String event, String fields) {
-    Logger.warn(line(event, fields));
+    Logger.warn(formatLine(event, fields));
   }
 
   /** Writes a failure with its cause. */
   public void error(String event, String fields, Throwable cause) {
-    Logger.error(cause, line(event, fields));
+    Logger.error(cause, formatLine(event, fields));
   }
 
   /** Returns a value that contains blanks as one quoted word. */
@@ -36,7 +36,7 @@
     return '"' + value.replace('"', '\'').replace('\n', ' ') + '"';
   }
 
-  private String line(String event, String fields) {
+  private String formatLine(String event, String fields) {
     String head = "host=" + host + " event=" + event;
     return fields.isEmpty() ? head : head + " " + fields;
   }
--- a/burdockbay-server/src/main/java/org/burdockbay/server/metrics/HostMetrics.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/metrics/HostMetrics.java
@@ -10,9 +10,9 @@
 public final class HostMetrics {
 
   /** Prefix of the response time histograms, in milliseconds. */
-  public static final String RESPONSE = "response";
+  public static final String RESPONSE_PREFIX = "response";
 
-  private static final String OUTCOME = "outcome";
+  private static final String OUTCOME_PREFIX = "outcome";
 
   private final MetricRegistry registry;
 
@@ -27,19 +27,19 @@
   }
 
   /** Records an answered job. */
-  public void answered(String caller, String job, JobOutcome outcome, long millis) {
-    registry.histogram(MetricRegistry.name(RESPONSE, caller, job)).update(millis);
-    registry.counter(MetricRegistry.name(OUTCOME, caller, outcome.code())).inc();
+  public void recordJob(String caller, String job, JobOutcome outcome, long millis) {
+    registry.histogram(MetricRegistry.name(RESPONSE_PREFIX, caller, job)).update(millis);
+    registry.counter(MetricRegistry.name(OUTCOME_PREFIX, caller, outcome.code())).inc();
   }
 
   /** Records answered work of a queue. */
-  public void worked(String queue, String outcome, long millis) {
-    registry.histogram(MetricRegistry.name(RESPONSE, "queue", queue)).update(millis);
-    registry.counter(MetricRegistry.name(OUTCOME, "queue", queue, outcome)).inc();
+  public void recordWork(String queue, String outcome, long millis) {
+    registry.histogram(MetricRegistry.name(RESPONSE_PREFIX, "queue", queue)).update(millis);
+    registry.counter(MetricRegistry.name(OUTCOME_PREFIX, "queue", queue, outcome)).inc();
   }
 
   /** Counts an event of the core by its name. */
-  public void event(String name) {
+  public void countEvent(String name) {
     registry.counter(MetricRegistry.name("event", name)).inc();
   }
 
@@ -47,7 +47,7 @@
   public Map<String, Map<String, Object>> responseTimes() {
     Map<String, Map<String, Object>> summaries = new LinkedHashMap<>();
     registry
-        .getHistograms((name, metric) -> name.startsWith(RESPONSE + "."))
+        .getHistograms((name, metric) -> name.startsWith(RESPONSE_PREFIX + "."))
         .forEach(
             (name, histogram) -> {
               Snapshot snapshot = histogram.getSnapshot();
@@ -56,7 +56,7 @@
               summary.put("p50", snapshot.getMedian());
               summary.put("p99", snapshot.get99thPercentile());
               summary.put("max", snapshot.getMax());
-              summaries.put(name.substring(RESPONSE.length() + 1), summary);
+              summaries.put(name.substring(RESPONSE_PREFIX.length() + 1), summary);
             });
     return summaries;
   }
--- a/burdockbay-server/src/main/java/org/burdockbay/server/metrics/WaitMeter.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/metrics/WaitMeter.java
@@ -12,15 +12,15 @@
 public final class WaitMeter {
 
   /** A longer wait is logged, in milliseconds; a heartbeat is due every 150 ms. */
-  private static final long LATE_MILLIS = 200;
+  private static final long WARNING_THRESHOLD_MILLIS = 200;
 
   /** Time between two lines, in milliseconds. */
-  private static final long LINE_MILLIS = 1_000;
+  private static final long WARNING_INTERVAL_MILLIS = 1_000;
 
   private final Histogram waits;
   private final EventLog log;
   private final String event;
-  private long quietUntil = Long.MIN_VALUE;
+  private long nextWarningAt = Long.MIN_VALUE;
 
   /**
    * Creates a meter.
@@ -40,10 +40,10 @@
    * @param millis the wait, in milliseconds
    * @param waiting the number of tasks that wait now
    */
-  public void waited(long millis, int waiting, long now) {
+  public void recordWait(long millis, int waiting, long now) {
     waits.update(millis);
-    if (millis > LATE_MILLIS && now >= quietUntil) {
-      quietUntil = now + LINE_MILLIS;
+    if (millis > WARNING_THRESHOLD_MILLIS && now >= nextWarningAt) {
+      nextWarningAt = now + WARNING_INTERVAL_MILLIS;
       log.warn(event, "wait=" + millis + " waiting=" + waiting);
     }
   }
--- a/burdockbay-server/src/main/java/org/burdockbay/server/node/CatalogKeeper.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/node/CatalogKeeper.java
@@ -23,7 +23,7 @@
 final class CatalogKeeper {
 
   /** Delay before a catalog that couldn't be decoded is downloaded again, in milliseconds. */
-  static final long RETRY_MILLIS = 1_000;
+  static final long RETRY_INTERVAL_MILLIS = 1_000;
 
   private final CatalogReader reader;
   private final Executor background;
@@ -38,7 +38,7 @@
   /** Highest version submitted for decoding. */
   private long submittedVersion;
 
-  private OptionalLong newerHeardAt = OptionalLong.empty();
+  private OptionalLong newerAnnouncedAt = OptionalLong.empty();
   private long retryAt = Long.MIN_VALUE;
 
   /**
@@ -73,12 +73,12 @@
    *
    * @return the part to request from that host, or empty if none is due
    */
-  Optional<CatalogPart.Request> heard(long version, long now) {
+  Optional<CatalogPart.Request> handleAnnouncement(long version, long now) {
     if (version <= submittedVersion || now < retryAt) {
       return Optional.empty();
     }
-    if (newerHeardAt.isEmpty()) {
-      newerHeardAt = OptionalLong.of(now);
+    if (newerAnnouncedAt.isEmpty()) {
+      newerAnnouncedAt = OptionalLong.of(now);
     }
     return download.handleAnnouncement(version, now);
   }
@@ -88,7 +88,7 @@
    *
    * @return the next part to request from that host, or empty if none is due
    */
-  Optional<CatalogPart.Request> received(CatalogPart part, String host, long now) {
+  Optional<CatalogPart.Request> handlePart(CatalogPart part, String host, long now) {
     if (part.version() <= submittedVersion) {
       return Optional.empty();
     }
@@ -103,7 +103,7 @@
   }
 
   /** Returns the reply to a request of another host, or empty if this host has no catalog. */
-  Optional<CatalogPart> part(String host, CatalogPart.Request request, long now) {
+  Optional<CatalogPart> servePart(String host, CatalogPart.Request request, long now) {
     return source.servePart(host, request, now);
   }
 
@@ -129,7 +129,7 @@
 
   private void scheduleRetry() {
     submittedVersion = current.version();
-    retryAt = clock.millis() + RETRY_MILLIS;
+    retryAt = clock.millis() + RETRY_INTERVAL_MILLIS;
   }
 
   private void putInForce(Catalog decoded, CompressedCatalog packed, String origin) {
@@ -146,10 +146,10 @@
             + " source="
             + origin
             + " heard-ago="
-            + (now - newerHeardAt.orElse(now))
+            + (now - newerAnnouncedAt.orElse(now))
             + " bytes="
             + packed.data().size());
-    newerHeardAt = OptionalLong.empty();
+    newerAnnouncedAt = OptionalLong.empty();
     current = decoded;
     source.add(packed);
     onInForce.run();
--- a/burdockbay-server/src/main/java/org/burdockbay/server/node/FirstVoters.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/node/ClusterBootstrap.java
@@ -20,11 +20,11 @@
  * <p>All seeds are told the same seeds, so each writes the same first members. Every other host
  * with a disk, and every host that comes back with an empty one later, waits to be admitted.
  */
-final class FirstVoters {
+final class ClusterBootstrap {
 
-  private FirstVoters() {}
+  private ClusterBootstrap() {}
 
-  static void create(NodeSettings settings) throws StorageException {
+  static void createDataFolderIfNeeded(NodeSettings settings) throws StorageException {
     Path path = settings.dataFolder().orElseThrow();
     boolean seed = settings.seeds().stream().map(HostAddress::ip).anyMatch(settings.host()::equals);
     if (!settings.firstStart() || !seed || Files.exists(path.resolve("identity"))) {
@@ -38,7 +38,8 @@
             .toList();
     RecoveredLog first = RecoveredLog.bootstrap(voters);
     try (DataFolder folder = DataFolder.bootstrap(path, settings.cluster(), settings.host());
-        LogStore store = new LogStore(folder.group(GroupId.CONTROL.number()), GroupId.CONTROL)) {
+        LogStore store =
+            new LogStore(folder.groupFolder(GroupId.CONTROL.number()), GroupId.CONTROL)) {
       store.write(
           List.of(
               new RaftEffect.Persist(
--- a/burdockbay-server/src/main/java/org/burdockbay/server/node/EpochKeeper.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/node/EpochKeeper.java
@@ -29,7 +29,7 @@
   }
 
   /** Returns what an earlier life of this host has saved. */
-  EpochFile.Content recall() {
+  EpochFile.Content load() {
     if (file.isPresent()) {
       try {
         saved = file.get().read();
@@ -41,7 +41,7 @@
   }
 
   /** Saves epoch and layout in the background, if one of them is larger than before. */
-  void remember(long epoch, ShardLayout layout) {
+  void save(long epoch, ShardLayout layout) {
     EpochFile.Content content =
         new EpochFile.Content(Math.max(epoch, saved.epoch()), saved.layout().larger(layout));
     if (file.isPresent() && !content.equals(saved)) {
--- a/burdockbay-server/src/main/java/org/burdockbay/server/node/HeartbeatSchedule.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/node/HeartbeatSchedule.java
@@ -14,18 +14,18 @@
 final class HeartbeatSchedule {
 
   /** Time between two heartbeats, in milliseconds. */
-  static final long PERIOD_MILLIS = 150;
+  static final long INTERVAL_MILLIS = 150;
 
   /** Time beyond the period to wait for the reference host's heartbeat, in milliseconds. */
   static final long GRACE_MILLIS = 25;
 
   /** Minimum time between a heartbeat and one triggered by the reference host, in milliseconds. */
-  static final long MIN_INTERVAL_MILLIS = PERIOD_MILLIS / 2;
+  static final long MIN_INTERVAL_MILLIS = INTERVAL_MILLIS / 2;
 
   private final String self;
   private volatile String referenceHost;
-  private long sentAt;
-  private long dueAt;
+  private long lastSentAt;
+  private long nextDueAt;
 
   /** Creates a schedule whose first heartbeat is due immediately. */
   HeartbeatSchedule(String self) {
@@ -34,28 +34,28 @@
   }
 
   /** Returns whether a heartbeat is due. */
-  boolean due(long now) {
-    return now >= dueAt;
+  boolean isDue(long now) {
+    return now >= nextDueAt;
   }
 
   /** Records that heartbeats were sent, and selects the reference host among the live hosts. */
-  void sent(Collection<String> liveHosts, long now) {
+  void recordSent(Collection<String> liveHosts, long now) {
     referenceHost =
         liveHosts.stream()
             .filter(host -> host.compareTo(self) < 0)
             .min(Comparator.naturalOrder())
             .orElse(self);
-    sentAt = now;
-    dueAt = now + PERIOD_MILLIS + (referenceHost.equals(self) ? 0 : GRACE_MILLIS);
+    lastSentAt = now;
+    nextDueAt = now + INTERVAL_MILLIS + (referenceHost.equals(self) ? 0 : GRACE_MILLIS);
   }
 
   /** Returns whether a heartbeat received from a host triggers the heartbeats of this one. */
   boolean triggersHeartbeat(String host, long now) {
-    return isReference(host) && now - sentAt >= MIN_INTERVAL_MILLIS;
+    return isReferenceHost(host) && now - lastSentAt >= MIN_INTERVAL_MILLIS;
   }
 
   /** Returns whether a host is the timing reference; safe on any thread. */
-  boolean isReference(String host) {
+  boolean isReferenceHost(String host) {
     return host.equals(referenceHost);
   }
 }
--- a/burdockbay-server/src/main/java/org/burdockbay/server/node/HostDirectory.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/node/HostDirectory.java
@@ -10,16 +10,16 @@
 /**
  * The other hosts that this one has heard of, directly or from others.
  *
- * <p>A host that nobody hears for {@link #FORGET_MILLIS} is forgotten, since its address may belong
- * to another machine by then. Seeds stay.
+ * <p>A host that nobody hears for {@link #SILENCE_TIMEOUT_MILLIS} is forgotten, since its address
+ * may belong to another machine by then. Seeds stay.
  */
 final class HostDirectory {
 
   /** Silence after which a host is forgotten, in milliseconds; longer than a power loss lasts. */
-  static final long FORGET_MILLIS = 60_000;
+  static final long SILENCE_TIMEOUT_MILLIS = 60_000;
 
   private final HostDescriptor self;
-  private final Map<String, Known> hosts = new HashMap<>();
+  private final Map<String, Entry> hosts = new HashMap<>();
 
   HostDirectory(HostDescriptor self) {
     this.self = self;
@@ -30,49 +30,49 @@
     if (card.id().equals(self.id())) {
       return false;
     }
-    Known known = hosts.get(card.id());
-    if (known != null && known.card.equals(card)) {
+    Entry known = hosts.get(card.id());
+    if (known != null && known.descriptor.equals(card)) {
       return false;
     }
-    Known added = new Known(card, now);
+    Entry added = new Entry(card, now);
     if (known != null) {
-      added.heardAt = known.heardAt;
-      added.heard = known.heard;
+      added.lastContactAt = known.lastContactAt;
+      added.contacted = known.contacted;
     }
     hosts.put(card.id(), added);
     return true;
   }
 
-  void heard(String host, long now) {
-    Known known = hosts.get(host);
+  void recordContact(String host, long now) {
+    Entry known = hosts.get(host);
     if (known != null) {
-      known.heardAt = now;
-      known.heard = true;
+      known.lastContactAt = now;
+      known.contacted = true;
     }
   }
 
   /** Returns how long ago a host was heard, in milliseconds; empty if it never was. */
-  Optional<Long> heardSince(String host, long now) {
+  Optional<Long> lastContactAgeMillis(String host, long now) {
     return Optional.ofNullable(hosts.get(host))
-        .filter(known -> known.heard)
-        .map(known -> now - known.heardAt);
+        .filter(known -> known.contacted)
+        .map(known -> now - known.lastContactAt);
   }
 
   /** Returns for how long a host has been silent, in milliseconds; empty if it is unknown. */
-  Optional<Long> silence(String host, long now) {
-    return Optional.ofNullable(hosts.get(host)).map(known -> now - known.heardAt);
+  Optional<Long> silenceMillis(String host, long now) {
+    return Optional.ofNullable(hosts.get(host)).map(known -> now - known.lastContactAt);
   }
 
   /** Forgets hosts that are silent for long, and returns them. */
-  List<HostDescriptor> forget(long now) {
+  List<HostDescriptor> removeSilentHosts(long now) {
     List<HostDescriptor> forgotten = new ArrayList<>();
     hosts
         .values()
         .removeIf(
             known -> {
-              boolean silent = now - known.heardAt > FORGET_MILLIS;
+              boolean silent = now - known.lastContactAt > SILENCE_TIMEOUT_MILLIS;
               if (silent) {
-                forgotten.add(known.card);
+                forgotten.add(known.descriptor);
               }
               return silent;
             });
@@ -80,10 +80,10 @@
   }
 
   /** Returns this host and the others. */
-  List<HostDescriptor> cards() {
+  List<HostDescriptor> descriptors() {
     List<HostDescriptor> cards = new ArrayList<>();
     cards.add(self);
-    hosts.values().forEach(known -> cards.add(known.card));
+    hosts.values().forEach(known -> cards.add(known.descriptor));
     return cards;
   }
 
@@ -93,19 +93,19 @@
   }
 
   /** Returns the ids of the other hosts. */
-  List<String> others() {
+  List<String> otherHosts() {
     return List.copyOf(hosts.keySet());
   }
 
-  private static final class Known {
+  private static final class Entry {
 
-    private final HostDescriptor card;
-    private long heardAt;
-    private boolean heard;
+    private final HostDescriptor descriptor;
+    private long lastContactAt;
+    private boolean contacted;
 
-    Known(HostDescriptor card, long heardAt) {
-      this.card = card;
-      this.heardAt = heardAt;
+    Entry(HostDescriptor card, long heardAt) {
+      this.descriptor = card;
+      this.lastContactAt = heardAt;
     }
   }
 }
--- a/burdockbay-server/src/main/java/org/burdockbay/server/node/HostGossip.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/node/HostGossip.java
@@ -18,11 +18,11 @@
 final class HostGossip {
 
   /** Interval at which the whole list is sent to the same host, in milliseconds. */
-  static final long ALL_MILLIS = 10_000;
+  static final long FULL_LIST_INTERVAL_MILLIS = 10_000;
 
   private final HostDirectory directory;
   private final PeerSender sender;
-  private final Map<String, Long> allAt = new HashMap<>();
+  private final Map<String, Long> nextFullListAt = new HashMap<>();
   private long nextDueAt;
 
   HostGossip(HostDirectory directory, PeerSender sender) {
@@ -36,7 +36,7 @@
    * @param wholeList whether to send the cards of all known hosts
    */
   void connected(String host, boolean wholeList) {
-    List<HostDescriptor> cards = directory.cards();
+    List<HostDescriptor> cards = directory.descriptors();
     sender.send(host, new PeerMessage.KnownHosts(wholeList ? cards : List.of(cards.getFirst())));
   }
 
@@ -46,29 +46,29 @@
    * <p>A card that was not received from its own host is not passed on: the host that received it
    * first-hand does that.
    */
-  void learnt(HostDescriptor card, String from) {
+  void hostDiscovered(HostDescriptor card, String from) {
     if (card.id().equals(from)) {
       PeerMessage message = new PeerMessage.KnownHosts(List.of(card));
-      directory.others().forEach(host -> sender.send(host, message));
+      directory.otherHosts().forEach(host -> sender.send(host, message));
     }
   }
 
   /** Sends the whole list to at most one of the hosts for which it is due. */
   void tick(long now) {
-    if (now < nextDueAt && directory.size() == allAt.size()) {
+    if (now < nextDueAt && directory.size() == nextFullListAt.size()) {
       return;
     }
-    List<String> others = directory.others();
-    allAt.keySet().retainAll(others);
-    others.forEach(host -> allAt.putIfAbsent(host, now + ALL_MILLIS));
+    List<String> others = directory.otherHosts();
+    nextFullListAt.keySet().retainAll(others);
+    others.forEach(host -> nextFullListAt.putIfAbsent(host, now + FULL_LIST_INTERVAL_MILLIS));
     others.stream()
-        .filter(host -> now >= allAt.get(host))
+        .filter(host -> now >= nextFullListAt.get(host))
         .findFirst()
         .ifPresent(
             host -> {
-              allAt.put(host, now + ALL_MILLIS);
-              sender.send(host, new PeerMessage.KnownHosts(directory.cards()));
+              nextFullListAt.put(host, now + FULL_LIST_INTERVAL_MILLIS);
+              sender.send(host, new PeerMessage.KnownHosts(directory.descriptors()));
             });
-    nextDueAt = allAt.values().stream().mapToLong(Long::longValue).min().orElse(now);
+    nextDueAt = nextFullListAt.values().stream().mapToLong(Long::longValue).min().orElse(now);
   }
 }
--- a/burdockbay-server/src/main/java/org/burdockbay/server/node/NodeController.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/node/NodeController.java
@@ -57,30 +57,31 @@
 public final class NodeController implements PeerListener, AutoCloseable {
 
   /** Silence after which a host counts as lost, in milliseconds; three heartbeats fit into it. */
-  private static final long LOST_MILLIS = LeaseTiming.ENTRY_HOST_SILENCE_TIMEOUT_MILLIS;
+  private static final long HOST_SILENCE_TIMEOUT_MILLIS =
+      LeaseTiming.ENTRY_HOST_SILENCE_TIMEOUT_MILLIS;
 
   /**
    * A host that says that it hasn't heard this one for so long is not reached by the connection to
    * it, in milliseconds; two heartbeats and a margin.
    */
-  private static final long UNHEARD_MILLIS = 350;
+  private static final long CONNECTION_SILENCE_TIMEOUT_MILLIS = 350;
 
-  private static final long MEMBERSHIP_MILLIS = 25;
-  private static final long FORGET_MILLIS = 2_000;
+  private static final long MEMBERSHIP_INTERVAL_MILLIS = 25;
+  private static final long DIRECTORY_CLEANUP_INTERVAL_MILLIS = 2_000;
 
   /** How far the time of day must leap ahead to show a suspension, in milliseconds. */
-  private static final long SUSPENDED_MILLIS = 250;
+  private static final long PAUSE_THRESHOLD_MILLIS = 250;
 
   /** What a host tells of its load that doesn't dispatch. */
   private static final DomainLoad NO_LOAD = new DomainLoad(0, 0);
 
-  private static final long RECONCILE_MILLIS = 500;
+  private static final long RECONCILE_INTERVAL_MILLIS = 500;
 
   /** Silence after which another host with a disk may take a voter's place, in milliseconds. */
-  private static final long REPLACE_VOTER_MILLIS = 3_000;
+  private static final long VOTER_SILENCE_TIMEOUT_MILLIS = 3_000;
 
   /** Voters that are wanted: one may be lost, and three serve even when one is being replaced. */
-  private static final int VOTERS = 3;
+  private static final int TARGET_VOTER_COUNT = 3;
 
   private final NodeParts parts;
   private final NodeSettings settings;
@@ -89,11 +90,11 @@
   private final CatalogKeeper catalog;
   private final Membership membership;
   private final HostDirectory directory;
-  private final HeartbeatSchedule schedule;
-  private final HostGossip gossip;
+  private final HeartbeatSchedule heartbeatSchedule;
+  private final HostGossip hostGossip;
   private final PeerSyncTracker peerSync;
-  private final Fleet fleet;
-  private final WorkDesk desk;
+  private final UpstreamGossip upstreamGossip;
+  private final WorkHandler workHandler;
   private final ProposalClient proposals;
   private final VoterKeeper voters;
   private final EpochKeeper epochs;
@@ -105,17 +106,17 @@
   private final Map<String, HostStatus> lastStatuses = new ConcurrentHashMap<>();
 
   /** When the first heartbeat of a host's present life arrived, if an earlier life was heard. */
-  private final Map<String, Long> restartSeenAt = new HashMap<>();
+  private final Map<String, Long> restartDetectedAt = new HashMap<>();
 
   private final AtomicLong lastTicket;
   private Map<ShardId, RouteView.ActiveDispatcher> dispatchers = Map.of();
-  private volatile boolean dispatcherKnown;
+  private volatile boolean hasDispatcher;
   private volatile boolean draining;
   private Optional<CompressedCatalog> agreedCatalog = Optional.empty();
-  private long aheadBefore;
-  private long membershipAt;
-  private long forgetAt;
-  private long reconcileAt;
+  private long lastWallClockLead;
+  private long nextMembershipTickAt;
+  private long nextDirectoryCleanupAt;
+  private long nextReconciliationAt;
 
   /**
    * Creates the parts of the host.
@@ -128,38 +129,44 @@
     this.clock = parts.clock();
     this.log = parts.log();
     final long now = clock.millis();
-    this.aheadBefore = System.currentTimeMillis() - now;
+    this.lastWallClockLead = System.currentTimeMillis() - now;
     this.lastTicket = new AtomicLong(parts.incarnation() << 20);
     this.catalog =
         new CatalogKeeper(
             parts.catalogReader(),
             parts.background(),
-            this::onControl,
-            this::heartbeat,
+            this::executeControl,
+            this::sendHeartbeats,
             log,
             clock);
     this.membership =
         Membership.withDiscovery(
-            settings.card(),
-            MembershipOptions.ofAddress(settings.host(), LOST_MILLIS, settings.mayDispatch()),
+            settings.descriptor(),
+            MembershipOptions.ofAddress(
+                settings.host(), HOST_SILENCE_TIMEOUT_MILLIS, settings.mayDispatch()),
             now);
-    this.directory = new HostDirectory(settings.card());
-    this.schedule = new HeartbeatSchedule(settings.host());
-    this.gossip = new HostGossip(directory, this::send);
+    this.directory = new HostDirectory(settings.descriptor());
+    this.heartbeatSchedule = new HeartbeatSchedule(settings.host());
+    this.hostGossip = new HostGossip(directory, this::send);
     this.peerSync = new PeerSyncTracker(settings.host(), settings.dataFolder().isPresent());
-    this.desk =
-        new WorkDesk(
-            parts, this::send, this::onControl, this::onWork, this::outranked, this::startOver);
-    this.fleet = new Fleet(desk::dispatch, this::broadcast);
+    this.workHandler =
+        new WorkHandler(
+            parts,
+            this::send,
+            this::executeControl,
+            this::executeWork,
+            this::claimSuperseded,
+            this::resetMembership);
+    this.upstreamGossip = new UpstreamGossip(workHandler::handleLeaseEvent, this::broadcast);
     Optional<AgreementStorage> storage = openStorage();
     this.storageIncarnation = storage.map(AgreementStorage::incarnation).orElse(0L);
-    this.agreement = storage.map(this::driver);
+    this.agreement = storage.map(this::createDriver);
     this.epochs = new EpochKeeper(settings.dataFolder().map(EpochFile::new), log);
-    EpochFile.Content recalled = epochs.recall();
+    EpochFile.Content recalled = epochs.load();
     membership.restore(recalled.epoch());
     membership.restore(recalled.layout());
     this.proposals = new ProposalClient(clock, agreement, this::leader, this::send);
-    this.voters = new VoterKeeper(VOTERS, this::replaceable, log);
+    this.voters = new VoterKeeper(TARGET_VOTER_COUNT, this::isReplaceable, log);
   }
 
   /**
@@ -171,38 +178,38 @@
     parts.transport().start(this);
     agreement.ifPresent(AgreementDriver::start);
     parts.thread().start(this::tick, this::flush);
-    onControl(() -> settings.seeds().forEach(this::connectSeed));
+    executeControl(() -> settings.seeds().forEach(this::connectSeed));
   }
 
   /**
    * Submits work.
    *
    * @param answer gets the outcome once, on the control thread
-   * @return the ticket to {@link #leave} with
+   * @return the ticket to {@link #callerDisconnected} with
    */
   public long submit(WorkRequest request, Consumer<WorkOutcome> answer) {
     long ticket = lastTicket.incrementAndGet();
-    onWork(() -> desk.open(ticket, request, answer));
+    executeWork(() -> workHandler.submit(ticket, request, answer));
     return ticket;
   }
 
   /** Notes that the caller of a ticket no longer waits. */
-  public void leave(long ticket) {
-    onWork(() -> desk.leave(ticket));
+  public void callerDisconnected(long ticket) {
+    executeWork(() -> workHandler.callerDisconnected(ticket));
   }
 
   /** Takes the announcement of an upstream that reached this host itself. */
-  public void announced(UpstreamAnnouncement notice) {
-    onControl(() -> fleet.announcedHere(notice, clock.millis()));
+  public void upstreamAnnounced(UpstreamAnnouncement notice) {
+    executeControl(() -> upstreamGossip.upstreamAnnounced(notice, clock.millis()));
   }
 
   /** Takes the departure of an upstream that reached this host itself. */
-  public void departed(String upstream) {
-    onControl(() -> fleet.departedHere(upstream, clock.millis()));
+  public void upstreamDeparted(String upstream) {
+    executeControl(() -> upstreamGossip.upstreamDeparted(upstream, clock.millis()));
   }
 
   /** Publishes a catalog; the future gets the reply of the voters. */
-  public CompletableFuture<ControlReply> publish(CompressedCatalog published) {
+  public CompletableFuture<ControlReply> publishCatalog(CompressedCatalog published) {
     return propose(new ControlCommand.PublishCatalog(published));
   }
 
@@ -217,60 +224,61 @@
   }
 
   /** Returns whether this host can serve callers; safe on any thread. */
-  public boolean ready() {
-    return catalog.current().version() > 0 && dispatcherKnown && !draining;
+  public boolean isReady() {
+    return catalog.current().version() > 0 && hasDispatcher && !draining;
   }
 
   /** Returns whether a planned stop has begun; safe on any thread. */
-  public boolean draining() {
+  public boolean isDraining() {
     return draining;
   }
 
   /** Replaces the seeds, as the settings have changed. */
   public void seedsChanged(List<HostAddress> seeds) {
-    onControl(() -> seeds.forEach(this::connectSeed));
+    executeControl(() -> seeds.forEach(this::connectSeed));
   }
 
   /** Begins a planned stop; the host goes on until nothing is in flight. */
   public void drain() {
-    onControl(
+    executeControl(
         () -> {
           draining = true;
-          log.info("drain-begun", "waiting=" + desk.waiting());
-          run(membership.drain(clock.millis()));
+          log.info("drain-begun", "waiting=" + workHandler.waitingCallers());
+          execute(membership.drain(clock.millis()));
           agreement.ifPresent(AgreementDriver::transferLeadership);
-          heartbeat();
+          sendHeartbeats();
         });
   }
 
   /** Returns the number of callers that wait here and pieces of work that are dispatched here. */
-  public CompletableFuture<Integer> inFlight() {
-    return call(desk::inFlight);
+  public CompletableFuture<Integer> inFlightCount() {
+    return query(workHandler::inFlightCount);
   }
 
   @Override
-  public void received(String host, PeerMessage message) {
+  public void messageReceived(String host, PeerMessage message) {
     long arrivedAt = clock.millis();
     switch (message) {
-      case PeerMessage.SubmitWork submit -> onWork(() -> submitted(host, submit, arrivedAt));
-      case PeerMessage.CancelWork cancel -> cancelled(host, cancel, arrivedAt);
-      case PeerMessage.Heartbeat heartbeat -> receivedHeartbeat(host, heartbeat, arrivedAt);
-      default -> onControl(() -> handle(host, message, arrivedAt));
+      case PeerMessage.SubmitWork submit ->
+          executeWork(() -> workSubmitted(host, submit, arrivedAt));
+      case PeerMessage.CancelWork cancel -> workCancelled(host, cancel, arrivedAt);
+      case PeerMessage.Heartbeat heartbeat -> enqueueHeartbeat(host, heartbeat, arrivedAt);
+      default -> executeControl(() -> handle(host, message, arrivedAt));
     }
   }
 
   @Override
-  public void reset(String host) {
-    onControl(
+  public void connectionOpened(String host) {
+    executeControl(
         () -> {
-          send(host, heartbeatTo(host, status()));
-          desk.intake(new IntakeEvent.PeerReconnected(host));
+          send(host, heartbeatFor(host, status()));
+          workHandler.handleIntakeEvent(new IntakeEvent.PeerReconnected(host));
         });
   }
 
   @Override
-  public void connected(String host, long incarnation) {
-    onControl(() -> sendMissedNews(host, incarnation, clock.millis()));
+  public void outboundConnected(String host, long incarnation) {
+    executeControl(() -> sendMissedNews(host, incarnation, clock.millis()));
   }
 
   @Override
@@ -284,25 +292,26 @@
    * Defers heartbeats that change at most the load, which most do, unless they come from the timing
    * reference.
    */
-  private void receivedHeartbeat(String host, PeerMessage.Heartbeat heartbeat, long arrivedAt) {
+  private void enqueueHeartbeat(String host, PeerMessage.Heartbeat heartbeat, long arrivedAt) {
     Runnable task = () -> handle(host, heartbeat, arrivedAt);
     HostStatus before = lastStatuses.put(host, heartbeat.status());
     boolean repeats = before != null && before.equalsIgnoringLoad(heartbeat.status());
-    if (repeats && !schedule.isReference(host)) {
+    if (repeats && !heartbeatSchedule.isReferenceHost(host)) {
       parts.thread().executeDeferred(task);
     } else {
-      onControl(task);
+      executeControl(task);
     }
   }
 
   private void sendMissedNews(String host, long incarnation, long now) {
     OptionalLong since = peerSync.connected(host, incarnation, now);
-    boolean everything = since.isEmpty() && peerSync.sendsEverything(host, liveHosts());
-    gossip.connected(host, everything);
+    boolean everything = since.isEmpty() && peerSync.sendsFullSync(host, liveHosts());
+    hostGossip.connected(host, everything);
     Optional<PeerMessage> missed =
         everything
-            ? fleet.tellAll(now)
-            : fleet.tellSince(since.orElse(now - Fleet.NEWS_RETENTION_MILLIS), now);
+            ? upstreamGossip.fullNews(now)
+            : upstreamGossip.newsSince(
+                since.orElse(now - UpstreamGossip.NEWS_RETENTION_MILLIS), now);
     missed.ifPresent(message -> send(host, message));
   }
 
@@ -314,18 +323,18 @@
     if (settings.dataFolder().isEmpty()) {
       return Optional.empty();
     }
-    FirstVoters.create(settings);
+    ClusterBootstrap.createDataFolderIfNeeded(settings);
     return Optional.of(
         AgreementStorage.open(
             settings.dataFolder().get(),
             settings.cluster(),
             settings.host(),
             log,
-            this::onStorage));
+            this::onStorageEvent));
   }
 
-  private AgreementDriver driver(AgreementStorage storage) {
-    return storage.driver(
+  private AgreementDriver createDriver(AgreementStorage storage) {
+    return storage.createDriver(
         settings.host(),
         parts.incarnation(),
         (host, message) -> send(host, new PeerMessage.Agreement(GroupId.CONTROL, message)),
@@ -334,8 +343,8 @@
         clock);
   }
 
-  private void onStorage(AgreementStorage.Event event) {
-    onControl(
+  private void onStorageEvent(AgreementStorage.Event event) {
+    executeControl(
         () ->
             agreement.ifPresent(
                 driver -> {
@@ -353,40 +362,40 @@
    * <p>Once for each batch: a restarted host applies all that its log holds at one go, and telling
    * everybody of each version on the way would hold up the newest.
    */
-  private void useAgreedCatalog() {
+  private void offerAgreedCatalog() {
     agreedCatalog.ifPresent(agreed -> catalog.offer(agreed, "log"));
     agreedCatalog = Optional.empty();
   }
 
   private CompletableFuture<ControlReply> propose(ControlCommand command) {
     CompletableFuture<ControlReply> reply = new CompletableFuture<>();
-    onControl(() -> proposals.propose(command, reply::complete));
+    executeControl(() -> proposals.propose(command, reply::complete));
     return reply;
   }
 
-  private <T> CompletableFuture<T> call(Supplier<T> question) {
+  private <T> CompletableFuture<T> query(Supplier<T> question) {
     CompletableFuture<T> answer = new CompletableFuture<>();
     // Behind the callers whose requests still wait, so that they are counted.
-    onWork(() -> answer.complete(question.get()));
+    executeWork(() -> answer.complete(question.get()));
     return answer;
   }
 
-  private void onControl(Runnable task) {
+  private void executeControl(Runnable task) {
     parts.thread().execute(task);
   }
 
-  private void onWork(Runnable task) {
+  private void executeWork(Runnable task) {
     parts.thread().executeWork(task);
   }
 
   /** Hands work to the dispatcher, unless its entry host was restarted since it sent it. */
-  private void submitted(String host, PeerMessage.SubmitWork submit, long arrivedAt) {
-    directory.heard(host, arrivedAt);
-    if (arrivedAt <= restartSeenAt.getOrDefault(host, Long.MIN_VALUE)) {
+  private void workSubmitted(String host, PeerMessage.SubmitWork submit, long arrivedAt) {
+    directory.recordContact(host, arrivedAt);
+    if (arrivedAt <= restartDetectedAt.getOrDefault(host, Long.MIN_VALUE)) {
       log.info("submission-outdated", "work=" + submit.request().id() + " from=" + host);
       return;
     }
-    desk.dispatch(
+    workHandler.handleLeaseEvent(
         new LeaseEvent.Submitted(
             host,
             submit.token(),
@@ -401,10 +410,10 @@
    * Hands a cancellation to the dispatcher at once, and again behind the submission that it may
    * have overtaken.
    */
-  private void cancelled(String host, PeerMessage.CancelWork cancel, long arrivedAt) {
+  private void workCancelled(String host, PeerMessage.CancelWork cancel, long arrivedAt) {
     LeaseEvent event = new LeaseEvent.Cancelled(host, cancel.token(), cancel.workId());
-    onControl(() -> desk.dispatch(event, arrivedAt));
-    onWork(() -> desk.dispatch(event, arrivedAt));
+    executeControl(() -> workHandler.handleLeaseEvent(event, arrivedAt));
+    executeWork(() -> workHandler.handleLeaseEvent(event, arrivedAt));
   }
 
   /**
@@ -415,56 +424,60 @@
    */
   private void handle(String host, PeerMessage message, long arrivedAt) {
     long now = clock.millis();
-    directory.heard(host, arrivedAt);
+    directory.recordContact(host, arrivedAt);
     switch (message) {
-      case PeerMessage.Heartbeat heartbeat -> heard(heartbeat, arrivedAt, now);
-      case PeerMessage.KnownHosts known -> known.hosts().forEach(card -> learn(host, card, now));
-      case PeerMessage.UpstreamNews news -> fleet.told(news, now);
+      case PeerMessage.Heartbeat heartbeat -> handleHeartbeat(heartbeat, arrivedAt, now);
+      case PeerMessage.KnownHosts known ->
+          known.hosts().forEach(card -> addDiscoveredHost(host, card, now));
+      case PeerMessage.UpstreamNews news -> upstreamGossip.handleNews(news, now);
       case PeerMessage.ReportWork report ->
-          desk.intake(new IntakeEvent.OutcomeReported(host, report.workId(), report.outcome()));
+          workHandler.handleIntakeEvent(
+              new IntakeEvent.OutcomeReported(host, report.workId(), report.outcome()));
       case PeerMessage.Agreement received ->
           agreement
               .filter(driver -> received.group().equals(GroupId.CONTROL))
               .ifPresent(driver -> driver.receive(received.message()));
-      case PeerMessage.Propose propose -> proposed(host, propose);
+      case PeerMessage.Propose propose -> handleProposal(host, propose);
       case PeerMessage.Proposed proposed ->
-          proposals.answered(proposed.requestId(), proposed.reply());
+          proposals.handleReply(proposed.requestId(), proposed.reply());
       case PeerMessage.FetchCatalogPart fetch ->
           catalog
-              .part(host, fetch.request(), now)
+              .servePart(host, fetch.request(), now)
               .ifPresent(part -> send(host, new PeerMessage.SendCatalogPart(part)));
       case PeerMessage.SendCatalogPart sent ->
-          catalog.received(sent.part(), host, now).ifPresent(request -> fetch(host, request));
+          catalog
+              .handlePart(sent.part(), host, now)
+              .ifPresent(request -> fetchCatalogPart(host, request));
       default ->
           log.warn(
               "message-ignored", "from=" + host + " kind=" + message.getClass().getSimpleName());
     }
   }
 
-  private void heard(PeerMessage.Heartbeat heartbeat, long arrivedAt, long now) {
+  private void handleHeartbeat(PeerMessage.Heartbeat heartbeat, long arrivedAt, long now) {
     HostStatus status = heartbeat.status();
-    renewIfUnheard(status.host(), heartbeat.lastContactAgeMillis());
-    peerSync.heardBy(
+    renewSilentConnection(status.host(), heartbeat.lastContactAgeMillis());
+    peerSync.contactReported(
         status.host(), status.incarnation(), heartbeat.lastContactAgeMillis(), arrivedAt);
     Long before = incarnations.put(status.host(), status.incarnation());
     if (before != null && before < status.incarnation()) {
       // The process was restarted within the time that its loss would have shown by silence. Work
       // of its earlier life that still waits here is nobody's any more.
-      restartSeenAt.put(status.host(), arrivedAt);
-      desk.dispatch(new LeaseEvent.EntryHostLost(status.host()));
+      restartDetectedAt.put(status.host(), arrivedAt);
+      workHandler.handleLeaseEvent(new LeaseEvent.EntryHostLost(status.host()));
     }
-    run(membership.heartbeat(status, now));
-    if (schedule.triggersHeartbeat(status.host(), now)) {
-      heartbeat();
+    execute(membership.heartbeat(status, now));
+    if (heartbeatSchedule.triggersHeartbeat(status.host(), now)) {
+      sendHeartbeats();
     }
     if (status.dispatcherEpoch() != 0) {
-      desk.intake(new IntakeEvent.LoadReported(status.host(), status.load()));
+      workHandler.handleIntakeEvent(new IntakeEvent.LoadReported(status.host(), status.load()));
     }
-    desk.dispatch(new LeaseEvent.EntryHostMessageReceived(status.host()), arrivedAt);
-    desk.intake(new IntakeEvent.DispatcherMessageReceived(status.host()));
+    workHandler.handleLeaseEvent(new LeaseEvent.EntryHostMessageReceived(status.host()), arrivedAt);
+    workHandler.handleIntakeEvent(new IntakeEvent.DispatcherMessageReceived(status.host()));
     catalog
-        .heard(status.configurationVersion(), now)
-        .ifPresent(request -> fetch(status.host(), request));
+        .handleAnnouncement(status.configurationVersion(), now)
+        .ifPresent(request -> fetchCatalogPart(status.host(), request));
   }
 
   /**
@@ -474,19 +487,22 @@
    * many minutes, and until then the other host misses every heartbeat and takes this one for lost.
    * The other host's heartbeats, which come over a connection of its own, tell.
    */
-  private void renewIfUnheard(String host, OptionalLong heardAgoMillis) {
-    boolean unheard = heardAgoMillis.isPresent() && heardAgoMillis.getAsLong() > UNHEARD_MILLIS;
-    if (unheard && parts.transport().renew(host, UNHEARD_MILLIS)) {
+  private void renewSilentConnection(String host, OptionalLong heardAgoMillis) {
+    boolean unheard =
+        heardAgoMillis.isPresent()
+            && heardAgoMillis.getAsLong() > CONNECTION_SILENCE_TIMEOUT_MILLIS;
+    if (unheard
+        && parts.transport().reconnectIfOlderThan(host, CONNECTION_SILENCE_TIMEOUT_MILLIS)) {
       log.warn("connection-silent", "to=" + host + " unheard=" + heardAgoMillis.getAsLong());
     }
   }
 
-  private void fetch(String host, CatalogPart.Request request) {
+  private void fetchCatalogPart(String host, CatalogPart.Request request) {
     send(host, new PeerMessage.FetchCatalogPart(request));
   }
 
-  private void proposed(String host, PeerMessage.Propose propose) {
-    if (agreement.isPresent() && agreement.get().leads()) {
+  private void handleProposal(String host, PeerMessage.Propose propose) {
+    if (agreement.isPresent() && agreement.get().isLeader()) {
       agreement
           .get()
           .propose(
@@ -499,25 +515,25 @@
 
   private void connectSeed(HostAddress seed) {
     HostDescriptor card = new HostDescriptor(seed.ip(), "", "", seed.toString());
-    boolean known = directory.others().contains(seed.ip());
+    boolean known = directory.otherHosts().contains(seed.ip());
     if (!known && !seed.ip().equals(settings.host())) {
       directory.add(card, clock.millis());
       connect(card);
     }
   }
 
-  private void learn(String from, HostDescriptor card, long now) {
+  private void addDiscoveredHost(String from, HostDescriptor card, long now) {
     if (card.group().isEmpty() || card.id().equals(settings.host())) {
       return;
     }
-    boolean connected = directory.others().contains(card.id());
+    boolean connected = directory.otherHosts().contains(card.id());
     if (directory.add(card, now)) {
       membership.addHost(card.id(), card.group(), now);
       log.info("host-learnt", "host=" + card.id() + " group=" + card.group());
       if (!connected) {
         connect(card);
       }
-      gossip.learnt(card, from);
+      hostGossip.hostDiscovered(card, from);
     }
   }
 
@@ -526,23 +542,24 @@
     parts.transport().connect(new PeerSettings(card.id(), card.domain(), address, false));
   }
 
-  private void run(List<MembershipEffect> effects) {
+  private void execute(List<MembershipEffect> effects) {
     for (MembershipEffect effect : effects) {
       switch (effect) {
         case MembershipEffect.Claim claim -> {
           Set<ShardId> live = membership.routes().liveShards();
-          desk.dispatch(new LeaseEvent.ShardsChanged(claim.shard(), live));
-          desk.dispatch(new LeaseEvent.RoleGained(claim.epoch()));
-          heartbeat();
+          workHandler.handleLeaseEvent(new LeaseEvent.ShardsChanged(claim.shard(), live));
+          workHandler.handleLeaseEvent(new LeaseEvent.RoleGained(claim.epoch()));
+          sendHeartbeats();
         }
         case MembershipEffect.Yield yield -> {
-          desk.dispatch(new LeaseEvent.RoleLost());
-          heartbeat();
+          workHandler.handleLeaseEvent(new LeaseEvent.RoleLost());
+          sendHeartbeats();
         }
-        case MembershipEffect.RoutesChanged routes -> routed(routes.view());
+        case MembershipEffect.RoutesChanged routes -> routesChanged(routes.view());
         case MembershipEffect.LayoutChanged changed -> layoutChanged(changed);
         case MembershipEffect.HostLost lost ->
-            log.warn("host-lost", "lost=" + lost.host() + " silence=" + LOST_MILLIS);
+            log.warn(
+                "host-lost", "lost=" + lost.host() + " silence=" + HOST_SILENCE_TIMEOUT_MILLIS);
         case MembershipEffect.HostFound found -> log.info("host-found", "found=" + found.host());
       }
     }
@@ -556,22 +573,24 @@
             + " now="
             + changed.current().shardsPerDomain()
             + " upstreams="
-            + fleet.size());
-    heartbeat();
+            + upstreamGossip.upstreamCount());
+    sendHeartbeats();
   }
 
-  private void routed(RouteView view) {
+  private void routesChanged(RouteView view) {
     logDispatchers(view.shards());
     dispatchers = view.shards();
-    dispatcherKnown = !dispatchers.isEmpty();
+    hasDispatcher = !dispatchers.isEmpty();
     membership
         .claimedShard()
-        .ifPresent(own -> desk.dispatch(new LeaseEvent.ShardsChanged(own, view.liveShards())));
+        .ifPresent(
+            own ->
+                workHandler.handleLeaseEvent(new LeaseEvent.ShardsChanged(own, view.liveShards())));
     Map<ShardId, IntakeEvent.Dispatcher> known = new HashMap<>();
     dispatchers.forEach(
         (shard, found) ->
             known.put(shard, new IntakeEvent.Dispatcher(found.host(), found.epoch())));
-    desk.intake(new IntakeEvent.DispatchersChanged(known));
+    workHandler.handleIntakeEvent(new IntakeEvent.DispatchersChanged(known));
   }
 
   private void logDispatchers(Map<ShardId, RouteView.ActiveDispatcher> now) {
@@ -590,12 +609,12 @@
   }
 
   /** Claims the role anew with a higher token, or leaves it to a host that is heard with one. */
-  private void outranked(LeaseEffect.Superseded lost) {
-    run(membership.handleSupersededClaim(lost.token(), lost.acceptedBefore(), clock.millis()));
+  private void claimSuperseded(LeaseEffect.Superseded lost) {
+    execute(membership.handleSupersededClaim(lost.token(), lost.acceptedBefore(), clock.millis()));
   }
 
-  private void startOver() {
-    run(membership.reset(clock.millis()));
+  private void resetMembership() {
+    execute(membership.reset(clock.millis()));
   }
 
   /**
@@ -604,47 +623,47 @@
    * <p>The steady clock may not count that time, and the time of day does. A step of the time of
    * day looks the same; it then costs a change of dispatcher and nothing else.
    */
-  private void noticeSuspension(long now) {
+  private void detectPause(long now) {
     long ahead = System.currentTimeMillis() - now;
-    if (ahead - aheadBefore > SUSPENDED_MILLIS) {
-      log.warn("clock-ahead", "millis=" + (ahead - aheadBefore));
-      desk.dispatch(new LeaseEvent.ProcessPaused(ahead - aheadBefore));
+    if (ahead - lastWallClockLead > PAUSE_THRESHOLD_MILLIS) {
+      log.warn("clock-ahead", "millis=" + (ahead - lastWallClockLead));
+      workHandler.handleLeaseEvent(new LeaseEvent.ProcessPaused(ahead - lastWallClockLead));
     }
-    aheadBefore = ahead;
+    lastWallClockLead = ahead;
   }
 
   private void tick() {
     long now = clock.millis();
-    noticeSuspension(now);
+    detectPause(now);
     agreement.ifPresent(AgreementDriver::tick);
-    if (now >= membershipAt) {
-      membershipAt = now + MEMBERSHIP_MILLIS;
-      run(membership.tick(now));
-      epochs.remember(membership.highestEpoch(), membership.layout());
+    if (now >= nextMembershipTickAt) {
+      nextMembershipTickAt = now + MEMBERSHIP_INTERVAL_MILLIS;
+      execute(membership.tick(now));
+      epochs.save(membership.highestEpoch(), membership.layout());
     }
-    desk.tick();
-    fleet.tick(now);
+    workHandler.tick();
+    upstreamGossip.tick(now);
     proposals.tick();
-    if (schedule.due(now)) {
-      heartbeat();
+    if (heartbeatSchedule.isDue(now)) {
+      sendHeartbeats();
     }
-    gossip.tick(now);
-    if (now >= forgetAt) {
-      forgetAt = now + FORGET_MILLIS;
-      directory.forget(now).forEach(card -> parts.transport().disconnect(card.id()));
+    hostGossip.tick(now);
+    if (now >= nextDirectoryCleanupAt) {
+      nextDirectoryCleanupAt = now + DIRECTORY_CLEANUP_INTERVAL_MILLIS;
+      directory.removeSilentHosts(now).forEach(card -> parts.transport().disconnect(card.id()));
     }
-    if (now >= reconcileAt) {
-      reconcileAt = now + RECONCILE_MILLIS;
-      run(membership.growLayout(fleet.suitedLayout(), now));
+    if (now >= nextReconciliationAt) {
+      nextReconciliationAt = now + RECONCILE_INTERVAL_MILLIS;
+      execute(membership.growLayout(upstreamGossip.suitableLayout(), now));
       agreement
-          .filter(AgreementDriver::leads)
+          .filter(AgreementDriver::isLeader)
           .ifPresent(driver -> voters.reconcile(driver.node(), voterStatuses(), now));
     }
   }
 
   private void flush() {
-    useAgreedCatalog();
-    desk.place();
+    offerAgreedCatalog();
+    workHandler.placeTasks();
     agreement.ifPresent(AgreementDriver::flush);
   }
 
@@ -654,27 +673,29 @@
     return statuses;
   }
 
-  private boolean replaceable(String host) {
+  private boolean isReplaceable(String host) {
     if (host.equals(settings.host())) {
       return false;
     }
     return directory
-        .silence(host, clock.millis())
-        .map(silence -> silence > REPLACE_VOTER_MILLIS)
+        .silenceMillis(host, clock.millis())
+        .map(silence -> silence > VOTER_SILENCE_TIMEOUT_MILLIS)
         .orElse(true);
   }
 
-  private void heartbeat() {
-    schedule.sent(liveHosts(), clock.millis());
+  private void sendHeartbeats() {
+    heartbeatSchedule.recordSent(liveHosts(), clock.millis());
     HostStatus status = status();
     if (status.dispatcherEpoch() != 0) {
-      desk.intake(new IntakeEvent.LoadReported(status.host(), status.load()));
+      workHandler.handleIntakeEvent(new IntakeEvent.LoadReported(status.host(), status.load()));
     }
-    directory.others().forEach(host -> parts.transport().send(host, heartbeatTo(host, status)));
+    directory
+        .otherHosts()
+        .forEach(host -> parts.transport().send(host, heartbeatFor(host, status)));
   }
 
-  private PeerMessage.Heartbeat heartbeatTo(String host, HostStatus status) {
-    Optional<Long> silence = directory.heardSince(host, clock.millis());
+  private PeerMessage.Heartbeat heartbeatFor(String host, HostStatus status) {
+    Optional<Long> silence = directory.lastContactAgeMillis(host, clock.millis());
     return new PeerMessage.Heartbeat(
         status, silence.map(OptionalLong::of).orElse(OptionalLong.empty()));
   }
@@ -682,7 +703,7 @@
   private HostStatus status() {
     return new HostStatus(
         settings.host(),
-        settings.card().group(),
+        settings.descriptor().group(),
         parts.incarnation(),
         agreement.filter(AgreementDriver::hasFailed).isPresent() ? 0 : storageIncarnation,
         catalog.current().version(),
@@ -690,8 +711,8 @@
         membership.highestEpoch(),
         membership.isDraining(),
         leader().orElse(""),
-        membership.claimedEpoch() == 0 ? NO_LOAD : desk.load(),
-        settings.card().domain(),
+        membership.claimedEpoch() == 0 ? NO_LOAD : workHandler.load(),
+        settings.descriptor().domain(),
         membership.layout(),
         membership.claimedShard().orElse(ShardId.WHOLE_FLEET));
   }
@@ -712,13 +733,13 @@
   }
 
   private void broadcast(PeerMessage message) {
-    directory.others().forEach(host -> parts.transport().send(host, message));
+    directory.otherHosts().forEach(host -> parts.transport().send(host, message));
   }
 
   /** Sends a message to a host; to this one without the network. */
   private void send(String host, PeerMessage message) {
     if (host.equals(settings.host())) {
-      received(host, message);
+      messageReceived(host, message);
     } else {
       parts.transport().send(host, message);
     }
--- a/burdockbay-server/src/main/java/org/burdockbay/server/node/NodeSettings.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/node/NodeSettings.java
@@ -10,7 +10,7 @@
  * What a host that finds the others from seeds is told at its start.
  *
  * @param cluster the cluster that it belongs to
- * @param card what other hosts get to know of it; its id is its IP address
+ * @param descriptor what other hosts get to know of it; its id is its IP address
  * @param address where it listens for other hosts
  * @param mayDispatch whether it may take the dispatcher role
  * @param seeds where some hosts with a data folder listen for other hosts; may be out of date
@@ -19,7 +19,7 @@
  */
 public record NodeSettings(
     String cluster,
-    HostDescriptor card,
+    HostDescriptor descriptor,
     HostAddress address,
     boolean mayDispatch,
     List<HostAddress> seeds,
@@ -33,11 +33,12 @@
 
   /** Returns the id of the host. */
   public String host() {
-    return card.id();
+    return descriptor.id();
   }
 
   /** Returns the settings with other seeds. */
   public NodeSettings withSeeds(List<HostAddress> others) {
-    return new NodeSettings(cluster, card, address, mayDispatch, others, dataFolder, firstStart);
+    return new NodeSettings(
+        cluster, descriptor, address, mayDispatch, others, dataFolder, firstStart);
   }
 }
--- a/burdockbay-server/src/main/java/org/burdockbay/server/node/PeerSyncTracker.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/node/PeerSyncTracker.java
@@ -18,7 +18,7 @@
   static final int FULL_SYNC_SENDERS = 2;
 
   /** Margin for messages in flight when the other host reported, in milliseconds. */
-  private static final long MARGIN_MILLIS = 500;
+  private static final long IN_FLIGHT_MARGIN_MILLIS = 500;
 
   private final String self;
   private final boolean hasDisk;
@@ -35,10 +35,10 @@
   }
 
   /** Records how long ago another host last heard this one, in milliseconds. */
-  void heardBy(String host, long incarnation, OptionalLong agoMillis, long now) {
+  void contactReported(String host, long incarnation, OptionalLong agoMillis, long now) {
     Peer peer = peers.get(host);
     if (peer != null && peer.incarnation == incarnation && agoMillis.isPresent()) {
-      peer.heardSelfAt = Math.max(peer.heardSelfAt, now - agoMillis.getAsLong());
+      peer.lastContactAt = Math.max(peer.lastContactAt, now - agoMillis.getAsLong());
     }
   }
 
@@ -49,15 +49,15 @@
    */
   OptionalLong connected(String host, long incarnation, long now) {
     Peer peer = peers.get(host);
-    if (peer == null || peer.incarnation != incarnation || !peer.hasReceivedAll()) {
+    if (peer == null || peer.incarnation != incarnation || !peer.hasReceivedFullSync()) {
       peers.put(host, new Peer(incarnation, now));
       return OptionalLong.empty();
     }
-    return OptionalLong.of(peer.heardSelfAt - MARGIN_MILLIS);
+    return OptionalLong.of(peer.lastContactAt - IN_FLIGHT_MARGIN_MILLIS);
   }
 
   /** Returns whether this host is one of those that send a restarted host everything. */
-  boolean sendsEverything(String host, Collection<String> liveHosts) {
+  boolean sendsFullSync(String host, Collection<String> liveHosts) {
     long rankedBefore =
         liveHosts.stream()
             .filter(other -> !other.equals(host) && !other.equals(self))
@@ -77,7 +77,7 @@
 
     private final long incarnation;
     private final long connectedAt;
-    private long heardSelfAt = Long.MIN_VALUE;
+    private long lastContactAt = Long.MIN_VALUE;
 
     private Peer(long incarnation, long connectedAt) {
       this.incarnation = incarnation;
@@ -85,8 +85,8 @@
     }
 
     /** Returns whether the host has heard this one later than the margin after the full send. */
-    private boolean hasReceivedAll() {
-      return heardSelfAt > connectedAt + MARGIN_MILLIS;
+    private boolean hasReceivedFullSync() {
+      return lastContactAt > connectedAt + IN_FLIGHT_MARGIN_MILLIS;
     }
   }
 }
--- a/burdockbay-server/src/main/java/org/burdockbay/server/node/Fleet.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/node/UpstreamGossip.java
@@ -18,13 +18,13 @@
 /**
  * Passes what upstreams say of themselves on to the dispatcher here and to all other hosts.
  *
- * <p>News are gathered for {@link #GATHER_MILLIS}: an upstream that leaves may get new tasks for
- * seconds, and a message for each announcement would cost a hundred a second and more.
+ * <p>News are gathered for {@link #BATCH_INTERVAL_MILLIS}: an upstream that leaves may get new
+ * tasks for seconds, and a message for each announcement would cost a hundred a second and more.
  */
-final class Fleet {
+final class UpstreamGossip {
 
   /** Time for which news are gathered into one message, in milliseconds. */
-  private static final long GATHER_MILLIS = 100;
+  private static final long BATCH_INTERVAL_MILLIS = 100;
 
   /**
    * Silence after which an upstream is forgotten, in milliseconds.
@@ -34,28 +34,28 @@
    * alive. Forgotten sooner, the whole fleet would be gone, and every caller refused, while the
    * hosts with a disk are down. Ten minutes are longer than a restart of all of them takes.
    */
-  static final long SILENCE_MILLIS = 600_000;
+  static final long SILENCE_TIMEOUT_MILLIS = 600_000;
 
   /** Time for which sent news is kept for resending on new connections, in milliseconds. */
   static final long NEWS_RETENTION_MILLIS = 20_000;
 
   /** How often an announcement that says nothing new is passed on, in milliseconds. */
-  static final long TELL_AGAIN_MILLIS = SILENCE_MILLIS / 10;
+  static final long RESEND_INTERVAL_MILLIS = SILENCE_TIMEOUT_MILLIS / 10;
 
-  private final UpstreamRegistry registry = new UpstreamRegistry(SILENCE_MILLIS);
+  private final UpstreamRegistry registry = new UpstreamRegistry(SILENCE_TIMEOUT_MILLIS);
   private final Consumer<LeaseEvent> dispatcher;
-  private final Consumer<PeerMessage> others;
-  private List<PeerMessage.UpstreamNews.Announced> announced = new ArrayList<>();
-  private List<UpstreamAnnouncement> departed = new ArrayList<>();
+  private final Consumer<PeerMessage> broadcaster;
+  private List<PeerMessage.UpstreamNews.Announced> pendingAnnouncements = new ArrayList<>();
+  private List<UpstreamAnnouncement> pendingDepartures = new ArrayList<>();
   private final Deque<SentNews> sentNews = new ArrayDeque<>();
-  private long tellAt;
+  private long nextSendAt;
 
   /** When an announcement of an upstream is passed on again although it says nothing new. */
-  private final Map<String, Long> tellAgainAt = new HashMap<>();
+  private final Map<String, Long> nextResendAt = new HashMap<>();
 
-  Fleet(Consumer<LeaseEvent> dispatcher, Consumer<PeerMessage> others) {
+  UpstreamGossip(Consumer<LeaseEvent> dispatcher, Consumer<PeerMessage> others) {
     this.dispatcher = dispatcher;
-    this.others = others;
+    this.broadcaster = others;
   }
 
   /**
@@ -64,33 +64,33 @@
    * <p>It is passed on at once if it says anything new, and otherwise rarely, so that the others
    * don't forget the upstream: most announcements only repeat the one before.
    */
-  void announcedHere(UpstreamAnnouncement notice, long now) {
+  void upstreamAnnounced(UpstreamAnnouncement notice, long now) {
     Optional<UpstreamAnnouncement> before = registry.announcement(notice.id());
-    if (!announced(notice, 0, now)) {
+    if (!recordAnnouncement(notice, 0, now)) {
       return;
     }
     boolean repeats = before.filter(notice::hasSameContent).isPresent();
-    if (!repeats || now >= tellAgainAt.getOrDefault(notice.id(), 0L)) {
-      tellAgainAt.put(notice.id(), now + TELL_AGAIN_MILLIS);
-      announced.add(new PeerMessage.UpstreamNews.Announced(notice, 0));
+    if (!repeats || now >= nextResendAt.getOrDefault(notice.id(), 0L)) {
+      nextResendAt.put(notice.id(), now + RESEND_INTERVAL_MILLIS);
+      pendingAnnouncements.add(new PeerMessage.UpstreamNews.Announced(notice, 0));
     }
   }
 
   /** Takes a departure that an upstream told this host. */
-  void departedHere(String upstream, long now) {
+  void upstreamDeparted(String upstream, long now) {
     registry
         .recordDeparture(upstream, now)
         .ifPresent(
             notice -> {
               dispatcher.accept(new LeaseEvent.Departed(notice));
-              tellAgainAt.remove(upstream);
-              departed.add(notice);
+              nextResendAt.remove(upstream);
+              pendingDepartures.add(notice);
             });
   }
 
   /** Takes what another host passes on. */
-  void told(PeerMessage.UpstreamNews news, long now) {
-    news.announced().forEach(each -> announced(each.notice(), each.ageMillis(), now));
+  void handleNews(PeerMessage.UpstreamNews news, long now) {
+    news.announced().forEach(each -> recordAnnouncement(each.notice(), each.ageMillis(), now));
     for (UpstreamAnnouncement notice : news.departed()) {
       registry
           .recordDeparture(notice.id(), now)
@@ -99,7 +99,7 @@
   }
 
   /** Returns all that is known, for a host that may know nothing. */
-  Optional<PeerMessage> tellAll(long now) {
+  Optional<PeerMessage> fullNews(long now) {
     List<PeerMessage.UpstreamNews.Announced> all =
         registry.announcements().stream()
             .map(
@@ -115,9 +115,9 @@
    * Returns the news that this host has sent to all others since the given time, for a host that
    * may have missed it, or all that is known if that news is no longer kept.
    */
-  Optional<PeerMessage> tellSince(long since, long now) {
+  Optional<PeerMessage> newsSince(long since, long now) {
     if (now - since > NEWS_RETENTION_MILLIS) {
-      return tellAll(now);
+      return fullNews(now);
     }
     List<PeerMessage.UpstreamNews.Announced> missedAnnounced = new ArrayList<>();
     List<UpstreamAnnouncement> missedDeparted = new ArrayList<>();
@@ -139,38 +139,39 @@
   }
 
   /** Returns the number of upstreams that are known. */
-  int size() {
+  int upstreamCount() {
     return registry.announcements().size();
   }
 
   /** Returns the layout that suits the upstreams that are known. */
-  ShardLayout suitedLayout() {
+  ShardLayout suitableLayout() {
     Collection<UpstreamAnnouncement> notices = registry.announcements();
     long domains = notices.stream().map(UpstreamAnnouncement::domain).distinct().count();
     return ShardLayout.of(notices.size(), Math.toIntExact(domains));
   }
 
   void tick(long now) {
-    if (now >= tellAt && !(announced.isEmpty() && departed.isEmpty())) {
-      tellAt = now + GATHER_MILLIS;
-      PeerMessage.UpstreamNews news = new PeerMessage.UpstreamNews(announced, departed);
+    if (now >= nextSendAt && !(pendingAnnouncements.isEmpty() && pendingDepartures.isEmpty())) {
+      nextSendAt = now + BATCH_INTERVAL_MILLIS;
+      PeerMessage.UpstreamNews news =
+          new PeerMessage.UpstreamNews(pendingAnnouncements, pendingDepartures);
       sentNews.addLast(new SentNews(news, now));
-      others.accept(news);
-      announced = new ArrayList<>();
-      departed = new ArrayList<>();
+      broadcaster.accept(news);
+      pendingAnnouncements = new ArrayList<>();
+      pendingDepartures = new ArrayList<>();
     }
     while (!sentNews.isEmpty() && now - sentNews.getFirst().sentAt > NEWS_RETENTION_MILLIS) {
       sentNews.removeFirst();
     }
-    registry.expireSilentUpstreams(now).forEach(this::expired);
+    registry.expireSilentUpstreams(now).forEach(this::upstreamExpired);
   }
 
-  private void expired(UpstreamAnnouncement lost) {
-    tellAgainAt.remove(lost.id());
+  private void upstreamExpired(UpstreamAnnouncement lost) {
+    nextResendAt.remove(lost.id());
     dispatcher.accept(new LeaseEvent.Departed(lost));
   }
 
-  private boolean announced(UpstreamAnnouncement notice, long ageMillis, long now) {
+  private boolean recordAnnouncement(UpstreamAnnouncement notice, long ageMillis, long now) {
     boolean news = registry.recordAnnouncement(notice, ageMillis, now);
     if (news) {
       dispatcher.accept(new LeaseEvent.Announced(notice));
--- a/burdockbay-server/src/main/java/org/burdockbay/server/node/WorkDesk.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/node/WorkHandler.java
@@ -22,22 +22,22 @@
 import org.burdockbay.server.metrics.HostMetrics;
 
 /** Runs intake and dispatch, and carries out their effects; used by the control thread only. */
-final class WorkDesk {
+final class WorkHandler {
 
   private final LeaseDispatcher dispatcher;
   private final WorkIntake intake;
-  private final Map<Long, Consumer<WorkOutcome>> answers = new HashMap<>();
+  private final Map<Long, Consumer<WorkOutcome>> callbacks = new HashMap<>();
   private final Clock clock;
   private final EventLog log;
   private final UpstreamCalls upstreams;
   private final HostMetrics metrics;
   private final PeerSender sender;
-  private final Executor control;
-  private final Executor work;
-  private final Consumer<LeaseEffect.Superseded> outranked;
-  private final Runnable startOver;
+  private final Executor controlExecutor;
+  private final Executor workExecutor;
+  private final Consumer<LeaseEffect.Superseded> onSuperseded;
+  private final Runnable onRoleReleased;
 
-  WorkDesk(
+  WorkHandler(
       NodeParts parts,
       PeerSender sender,
       Executor control,
@@ -48,34 +48,34 @@
     this.intake =
         new WorkIntake(
             parts.settings().host(),
-            parts.settings().card().domain(),
+            parts.settings().descriptor().domain(),
             LeaseTiming.ENTRY_HOST_SILENCE_TIMEOUT_MILLIS + LeaseTiming.DEFAULT.maxLeaseMillis());
     this.clock = parts.clock();
     this.log = parts.log();
     this.upstreams = parts.upstreams();
     this.metrics = parts.metrics();
     this.sender = sender;
-    this.control = control;
-    this.work = work;
-    this.outranked = outranked;
-    this.startOver = startOver;
+    this.controlExecutor = control;
+    this.workExecutor = work;
+    this.onSuperseded = outranked;
+    this.onRoleReleased = startOver;
   }
 
-  void open(long ticket, WorkRequest request, Consumer<WorkOutcome> answer) {
-    answers.put(ticket, answer);
-    intake(new IntakeEvent.RequestReceived(ticket, request));
+  void submit(long ticket, WorkRequest request, Consumer<WorkOutcome> answer) {
+    callbacks.put(ticket, answer);
+    handleIntakeEvent(new IntakeEvent.RequestReceived(ticket, request));
   }
 
-  void leave(long ticket) {
-    answers.remove(ticket);
-    intake(new IntakeEvent.CallerDisconnected(ticket));
+  void callerDisconnected(long ticket) {
+    callbacks.remove(ticket);
+    handleIntakeEvent(new IntakeEvent.CallerDisconnected(ticket));
   }
 
-  int waiting() {
+  int waitingCallers() {
     return intake.waitingCallers();
   }
 
-  int inFlight() {
+  int inFlightCount() {
     return intake.waitingCallers() + dispatcher.unansweredCount();
   }
 
@@ -85,11 +85,11 @@
   }
 
   void tick() {
-    dispatch(new LeaseEvent.Tick());
-    intake(new IntakeEvent.Tick());
+    handleLeaseEvent(new LeaseEvent.Tick());
+    handleIntakeEvent(new IntakeEvent.Tick());
   }
 
-  void intake(IntakeEvent event) {
+  void handleIntakeEvent(IntakeEvent event) {
     for (IntakeEffect effect : intake.handle(event, clock.millis())) {
       switch (effect) {
         case IntakeEffect.Submit submit ->
@@ -105,51 +105,52 @@
             sender.send(
                 cancel.to().host(),
                 new PeerMessage.CancelWork(cancel.to().token(), cancel.workId()));
-        case IntakeEffect.Answer answer -> answer(answer);
+        case IntakeEffect.Answer answer -> answerCaller(answer);
         case IntakeEffect.LogEvent note -> log.info(note.event(), note.fields());
       }
     }
   }
 
-  void dispatch(LeaseEvent event) {
-    carryOut(dispatcher.handle(event, clock.millis()));
+  void handleLeaseEvent(LeaseEvent event) {
+    execute(dispatcher.handle(event, clock.millis()));
   }
 
   /** Takes an event that arrived some time ago. */
-  void dispatch(LeaseEvent event, long arrivedAt) {
-    carryOut(dispatcher.handle(event, arrivedAt, clock.millis()));
+  void handleLeaseEvent(LeaseEvent event, long arrivedAt) {
+    execute(dispatcher.handle(event, arrivedAt, clock.millis()));
   }
 
   /** Starts what can start; called after some events. */
-  void place() {
-    carryOut(dispatcher.place(clock.millis()));
+  void placeTasks() {
+    execute(dispatcher.place(clock.millis()));
   }
 
-  private void carryOut(List<LeaseEffect> effects) {
+  private void execute(List<LeaseEffect> effects) {
     for (LeaseEffect effect : effects) {
       switch (effect) {
-        case LeaseEffect.Start start -> upstreams.start(start, this::answered);
-        case LeaseEffect.Stop stop -> upstreams.stop(stop, this::answered);
-        case LeaseEffect.Renew renew -> upstreams.renew(renew, this::answered);
+        case LeaseEffect.Start start -> upstreams.start(start, this::upstreamAnswered);
+        case LeaseEffect.Stop stop -> upstreams.stop(stop, this::upstreamAnswered);
+        case LeaseEffect.Renew renew -> upstreams.renew(renew, this::upstreamAnswered);
         case LeaseEffect.Report report ->
             sender.send(
                 report.entryHost(), new PeerMessage.ReportWork(report.workId(), report.outcome()));
-        case LeaseEffect.Superseded lost -> control.execute(() -> outranked.accept(lost));
-        case LeaseEffect.RoleReleased stalled -> control.execute(startOver);
+        case LeaseEffect.Superseded lost ->
+            controlExecutor.execute(() -> onSuperseded.accept(lost));
+        case LeaseEffect.RoleReleased stalled -> controlExecutor.execute(onRoleReleased);
         case LeaseEffect.LogEvent note -> {
-          metrics.event(note.event());
+          metrics.countEvent(note.event());
           log.info(note.event(), note.fields());
         }
       }
     }
   }
 
-  private void answered(LeaseEvent event) {
+  private void upstreamAnswered(LeaseEvent event) {
     long arrivedAt = clock.millis();
-    work.execute(() -> dispatch(event, arrivedAt));
+    workExecutor.execute(() -> handleLeaseEvent(event, arrivedAt));
   }
 
-  private void answer(IntakeEffect.Answer answer) {
+  private void answerCaller(IntakeEffect.Answer answer) {
     log.info(
         "work-answered",
         "work="
@@ -159,15 +160,15 @@
             + " age="
             + answer.ageMillis()
             + " outcome="
-            + word(answer.outcome()));
-    metrics.worked(answer.request().queue(), word(answer.outcome()), answer.ageMillis());
-    Consumer<WorkOutcome> waiting = answers.remove(answer.ticket());
+            + code(answer.outcome()));
+    metrics.recordWork(answer.request().queue(), code(answer.outcome()), answer.ageMillis());
+    Consumer<WorkOutcome> waiting = callbacks.remove(answer.ticket());
     if (waiting != null) {
       waiting.accept(answer.outcome());
     }
   }
 
-  private static String word(WorkOutcome outcome) {
+  private static String code(WorkOutcome outcome) {
     return switch (outcome) {
       case WorkOutcome.Completed completed -> "completed";
       case WorkOutcome.Failed failed -> "failed";
--- a/burdockbay-server/src/main/java/org/burdockbay/server/runner/RunnerClient.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/runner/RunnerClient.java
@@ -34,34 +34,38 @@
 public final class RunnerClient implements AutoCloseable {
 
   private static final MediaType JSON = MediaType.get("application/json");
-  private static final int MOST_CALLS = 20_000;
-  private static final long ANSWER_GRACE_MILLIS = 1_000;
-  private static final long CONNECT_MILLIS = 500;
-  private static final long ASK_MILLIS = 1_000;
-  private static final long IDLE_SECONDS = 20;
-  private static final int IDLE_CONNECTIONS = 2_000;
+  private static final int MAX_CONCURRENT_CALLS = 20_000;
+  private static final long START_ANSWER_SLACK_MILLIS = 1_000;
+  private static final long CONNECT_TIMEOUT_MILLIS = 500;
+  private static final long CALL_TIMEOUT_MILLIS = 1_000;
+  private static final long IDLE_TIMEOUT_SECONDS = 20;
+  private static final int MAX_IDLE_CONNECTIONS = 2_000;
 
   private final ExecutorService executor = Executors.newVirtualThreadPerTaskExecutor();
   private final ObjectMapper json;
-  private final OkHttpClient kept;
-  private final OkHttpClient fresh;
+  private final OkHttpClient pooledClient;
+  private final OkHttpClient unpooledClient;
 
   /** Creates a client. */
   public RunnerClient(ObjectMapper json) {
     this.json = json;
     Dispatcher dispatcher = new Dispatcher(executor);
-    dispatcher.setMaxRequests(MOST_CALLS);
-    dispatcher.setMaxRequestsPerHost(MOST_CALLS);
-    this.kept =
+    dispatcher.setMaxRequests(MAX_CONCURRENT_CALLS);
+    dispatcher.setMaxRequestsPerHost(MAX_CONCURRENT_CALLS);
+    this.pooledClient =
         new OkHttpClient.Builder()
             .dispatcher(dispatcher)
-            .connectionPool(new ConnectionPool(IDLE_CONNECTIONS, IDLE_SECONDS, TimeUnit.SECONDS))
+            .connectionPool(
+                new ConnectionPool(MAX_IDLE_CONNECTIONS, IDLE_TIMEOUT_SECONDS, TimeUnit.SECONDS))
             .retryOnConnectionFailure(false)
-            .connectTimeout(CONNECT_MILLIS, TimeUnit.MILLISECONDS)
+            .connectTimeout(CONNECT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
             .readTimeout(0, TimeUnit.MILLISECONDS)
             .build();
-    this.fresh =
-        kept.newBuilder().connectionPool(new ConnectionPool(0, 1, TimeUnit.SECONDS)).build();
+    this.unpooledClient =
+        pooledClient
+            .newBuilder()
+            .connectionPool(new ConnectionPool(0, 1, TimeUnit.SECONDS))
+            .build();
   }
 
   /** Starts an attempt. */
@@ -75,34 +79,39 @@
             effect.payload(),
             effect.timeoutMillis());
     post(
-        kept,
+        pooledClient,
         effect.address() + "/v1/attempts",
         body,
-        effect.timeoutMillis() + ANSWER_GRACE_MILLIS,
-        result -> listener.ended(effect.attempt(), effect.runner(), outcome(result)));
+        effect.timeoutMillis() + START_ANSWER_SLACK_MILLIS,
+        result -> listener.attemptEnded(effect.attempt(), effect.runner(), toOutcome(result)));
   }
 
   /** Asks about an attempt over a new connection. */
-  public void ask(DispatchEffect.QueryAttempt effect, RunnerListener listener) {
-    RunnerMessages.Ask body =
-        new RunnerMessages.Ask(
+  public void query(DispatchEffect.QueryAttempt effect, RunnerListener listener) {
+    RunnerMessages.Query body =
+        new RunnerMessages.Query(
             effect.attempt().toString(),
             effect.runner().incarnation(),
             effect.epoch(),
             effect.waitMillis());
     post(
-        fresh,
+        unpooledClient,
         effect.address() + "/v1/attempts/ask",
         body,
-        ASK_MILLIS + effect.waitMillis(),
-        result -> listener.asked(effect.attempt(), effect.runner(), status(result)));
+        CALL_TIMEOUT_MILLIS + effect.waitMillis(),
+        result -> listener.attemptQueried(effect.attempt(), effect.runner(), toStatus(result)));
   }
 
   /** Stops attempts; the end of each start call tells what came of it. */
   public void cancel(DispatchEffect.CancelAttempts effect) {
     List<String> attempts = effect.attempts().stream().map(Object::toString).toList();
     RunnerMessages.Cancel body = new RunnerMessages.Cancel(effect.epoch(), attempts);
-    post(kept, effect.address() + "/v1/attempts/cancel", body, ASK_MILLIS, result -> {});
+    post(
+        pooledClient,
+        effect.address() + "/v1/attempts/cancel",
+        body,
+        CALL_TIMEOUT_MILLIS,
+        result -> {});
   }
 
   /** Makes a runner obey the epoch. */
@@ -110,22 +119,23 @@
     RunnerMessages.Fence body =
         new RunnerMessages.Fence(domain, effect.epoch(), effect.runner().incarnation());
     post(
-        fresh,
+        unpooledClient,
         effect.address() + "/v1/fence",
         body,
-        ASK_MILLIS,
-        result -> fenced(effect, result, listener));
+        CALL_TIMEOUT_MILLIS,
+        result -> fenceAnswered(effect, result, listener));
   }
 
   @Override
   public void close() {
-    kept.dispatcher().cancelAll();
+    pooledClient.dispatcher().cancelAll();
     executor.shutdownNow();
-    kept.connectionPool().evictAll();
+    pooledClient.connectionPool().evictAll();
   }
 
-  private void fenced(DispatchEffect.FenceRunner effect, Result result, RunnerListener listener) {
-    if (!(result instanceof Result.Answered answered)) {
+  private void fenceAnswered(
+      DispatchEffect.FenceRunner effect, CallResult result, RunnerListener listener) {
+    if (!(result instanceof CallResult.Answered answered)) {
       return;
     }
     Optional<RunnerMessages.Inventory> inventory =
@@ -134,36 +144,36 @@
       return;
     }
     if (inventory.get().epoch() > effect.epoch()) {
-      listener.outranked(inventory.get().epoch());
+      listener.epochSuperseded(inventory.get().epoch());
     } else if (inventory.get().epoch() == effect.epoch()) {
       List<AttemptReport> reports =
           inventory.get().attempts().stream()
-              .map(RunnerMessages.Attempt::report)
+              .map(RunnerMessages.Attempt::toReport)
               .flatMap(Optional::stream)
               .toList();
-      listener.inventoried(effect.runner(), effect.epoch(), reports);
+      listener.runnerFenced(effect.runner(), effect.epoch(), reports);
     }
   }
 
-  private AttemptOutcome outcome(Result result) {
+  private AttemptOutcome toOutcome(CallResult result) {
     return switch (result) {
-      case Result.Answered answered ->
+      case CallResult.Answered answered ->
           read(answered.body(), RunnerMessages.Attempt.class)
-              .map(RunnerMessages.Attempt::outcome)
+              .map(RunnerMessages.Attempt::toOutcome)
               .orElseGet(() -> new AttemptOutcome.Uncertain("unreadable answer"));
-      case Result.NotSent notSent -> new AttemptOutcome.Rejected(notSent.reason());
-      case Result.Lost lost -> new AttemptOutcome.Uncertain(lost.reason());
+      case CallResult.NotSent notSent -> new AttemptOutcome.Rejected(notSent.reason());
+      case CallResult.NoResponse lost -> new AttemptOutcome.Uncertain(lost.reason());
     };
   }
 
-  private AttemptStatus status(Result result) {
+  private AttemptStatus toStatus(CallResult result) {
     return switch (result) {
-      case Result.Answered answered ->
+      case CallResult.Answered answered ->
           read(answered.body(), RunnerMessages.Attempt.class)
-              .map(RunnerMessages.Attempt::asked)
+              .map(RunnerMessages.Attempt::toStatus)
               .orElseGet(() -> new AttemptStatus.Unreachable("unreadable answer"));
-      case Result.NotSent notSent -> new AttemptStatus.Unreachable(notSent.reason());
-      case Result.Lost lost -> new AttemptStatus.Unreachable(lost.reason());
+      case CallResult.NotSent notSent -> new AttemptStatus.Unreachable(notSent.reason());
+      case CallResult.NoResponse lost -> new AttemptStatus.Unreachable(lost.reason());
     };
   }
 
@@ -176,7 +186,7 @@
   }
 
   private void post(
-      OkHttpClient client, String url, Object body, long timeoutMillis, Consumer<Result> then) {
+      OkHttpClient client, String url, Object body, long timeoutMillis, Consumer<CallResult> then) {
     Request request;
     try {
       request =
@@ -185,7 +195,7 @@
               .post(RequestBody.create(json.writeValueAsBytes(body), JSON))
               .build();
     } catch (JsonProcessingException | IllegalArgumentException e) {
-      then.accept(new Result.NotSent("not a request: " + e.getMessage()));
+      then.accept(new CallResult.NotSent("not a request: " + e.getMessage()));
       return;
     }
     Call call = client.newCall(request);
@@ -197,16 +207,18 @@
             // Only a refused connection proves that nothing was delivered.
             boolean refused = e instanceof ConnectException;
             String reason = e.getClass().getSimpleName() + ": " + e.getMessage();
-            then.accept(refused ? new Result.NotSent(reason) : new Result.Lost(reason));
+            then.accept(
+                refused ? new CallResult.NotSent(reason) : new CallResult.NoResponse(reason));
           }
 
           @Override
           public void onResponse(Call answered, Response response) {
-            Result result;
+            CallResult result;
             try (response) {
-              result = new Result.Answered(response.body().string());
+              result = new CallResult.Answered(response.body().string());
             } catch (IOException e) {
-              result = new Result.Lost(e.getClass().getSimpleName() + ": " + e.getMessage());
+              result =
+                  new CallResult.NoResponse(e.getClass().getSimpleName() + ": " + e.getMessage());
             }
             then.accept(result);
           }
@@ -214,15 +226,15 @@
   }
 
   /** How a call ended. */
-  private sealed interface Result {
+  private sealed interface CallResult {
 
     /** The runner answered. */
-    record Answered(String body) implements Result {}
+    record Answered(String body) implements CallResult {}
 
     /** Nothing was delivered. */
-    record NotSent(String reason) implements Result {}
+    record NotSent(String reason) implements CallResult {}
 
     /** The request may have been delivered. */
-    record Lost(String reason) implements Result {}
+    record NoResponse(String reason) implements CallResult {}
   }
 }
--- a/burdockbay-server/src/main/java/org/burdockbay/server/runner/RunnerListener.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/runner/RunnerListener.java
@@ -11,14 +11,14 @@
 public interface RunnerListener {
 
   /** A start call ended. */
-  void ended(AttemptId attempt, RunnerId runner, AttemptOutcome outcome);
+  void attemptEnded(AttemptId attempt, RunnerId runner, AttemptOutcome outcome);
 
   /** A question about an attempt was answered. */
-  void asked(AttemptId attempt, RunnerId runner, AttemptStatus status);
+  void attemptQueried(AttemptId attempt, RunnerId runner, AttemptStatus status);
 
   /** A runner accepted the epoch and listed its attempts. */
-  void inventoried(RunnerId runner, long epoch, List<AttemptReport> attempts);
+  void runnerFenced(RunnerId runner, long epoch, List<AttemptReport> attempts);
 
   /** A runner obeys a higher epoch. */
-  void outranked(long epoch);
+  void epochSuperseded(long epoch);
 }
--- a/burdockbay-server/src/main/java/org/burdockbay/server/runner/RunnerMessages.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/runner/RunnerMessages.java
@@ -38,7 +38,7 @@
       long timeoutMillis) {}
 
   /** Body of a question about an attempt. */
-  public record Ask(String attempt, long incarnation, long epoch, long waitMillis) {}
+  public record Query(String attempt, long incarnation, long epoch, long waitMillis) {}
 
   /** Body of a cancellation. */
   public record Cancel(long epoch, List<String> attempts) {}
@@ -59,7 +59,7 @@
       long epoch) {
 
     /** Returns the outcome of a start call. */
-    public AttemptOutcome outcome() {
+    public AttemptOutcome toOutcome() {
       return switch (status) {
         case SUCCEEDED -> new AttemptOutcome.Succeeded(Optional.ofNullable(answer).orElse("null"));
         case FAILED -> new AttemptOutcome.Failed(text(reason));
@@ -70,18 +70,18 @@
     }
 
     /** Returns the status of an attempt that was asked about. */
-    public AttemptStatus asked() {
+    public AttemptStatus toStatus() {
       return switch (status) {
         case RUNNING -> new AttemptStatus.Running();
         case NEVER_BEGAN -> new AttemptStatus.NeverBegan();
-        case SUCCEEDED, FAILED -> new AttemptStatus.Finished(outcome());
+        case SUCCEEDED, FAILED -> new AttemptStatus.Finished(toOutcome());
         default -> new AttemptStatus.Unreachable("the runner answered '" + status + "'");
       };
     }
 
     /** Returns the line of an inventory, or empty if it can't be read. */
-    public Optional<AttemptReport> report() {
-      return AttemptId.parse(text(attempt)).map(id -> new AttemptReport(id, asked()));
+    public Optional<AttemptReport> toReport() {
+      return AttemptId.parse(text(attempt)).map(id -> new AttemptReport(id, toStatus()));
     }
 
     private static String text(@Nullable String value) {
--- a/burdockbay-server/src/main/java/org/burdockbay/server/settings/HostAddress.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/settings/HostAddress.java
@@ -19,7 +19,7 @@
   }
 
   /** Returns the address for a socket. */
-  public InetSocketAddress socket() {
+  public InetSocketAddress toSocketAddress() {
     return new InetSocketAddress(ip, port);
   }
 
--- a/burdockbay-server/src/main/java/org/burdockbay/server/settings/HostSettings.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/settings/HostSettings.java
@@ -30,7 +30,7 @@
  * @param dataFolder data folder, on a host with a disk
  * @param tls certificate and key, where HTTPS is on
  * @param limits limits on what callers send
- * @param drainMillis longest wait of a planned stop, in milliseconds
+ * @param drainTimeoutMillis longest wait of a planned stop, in milliseconds
  * @param peers the other hosts
  */
 public record HostSettings(
@@ -45,14 +45,14 @@
     Optional<Path> dataFolder,
     Optional<TlsFiles> tls,
     RequestLimits limits,
-    long drainMillis,
+    long drainTimeoutMillis,
     List<PeerSettings> peers) {
 
   /** Certificate chain and private key, both PEM. */
   public record TlsFiles(Path certificate, Path key) {}
 
   /** Limits on what callers send. */
-  public record RequestLimits(int openRequests, int bodyBytes) {}
+  public record RequestLimits(int maxOpenRequests, int maxBodyBytes) {}
 
   /**
    * Reads and validates a settings file.
@@ -85,13 +85,13 @@
       problems.add(new Problem(file, 0, "[host]", "the section is missing"));
     }
     if (problems.isEmpty()) {
-      checkAcross(sections, problems);
+      validateAcrossSections(sections, problems);
     }
     if (!problems.isEmpty()) {
       problems.sort(Comparator.comparingInt(Problem::line));
       throw new ConfigurationException(problems);
     }
-    return assemble(host.orElseThrow(), sections);
+    return createSettings(host.orElseThrow(), sections);
   }
 
   /** Returns the failure domain of every host, this one included. */
@@ -103,7 +103,7 @@
   }
 
   /** Returns the ids of the hosts that take part in the agreement. */
-  public List<String> voterHosts() {
+  public List<String> voterIds() {
     List<String> voters = new ArrayList<>();
     if (dataFolder.isPresent()) {
       voters.add(id);
@@ -112,7 +112,7 @@
     return voters.stream().sorted().toList();
   }
 
-  private static void checkAcross(List<ValidSection> sections, List<Problem> problems) {
+  private static void validateAcrossSections(List<ValidSection> sections, List<Problem> problems) {
     Set<String> ids = new HashSet<>();
     Set<String> addresses = new HashSet<>();
     for (ValidSection section : sections) {
@@ -131,7 +131,7 @@
     }
   }
 
-  private static HostSettings assemble(ValidSection host, List<ValidSection> sections) {
+  private static HostSettings createSettings(ValidSection host, List<ValidSection> sections) {
     List<PeerSettings> peers =
         sections.stream()
             .filter(section -> section.kind().equals("peer"))
@@ -144,7 +144,7 @@
                         section.flag("voter")))
             .toList();
     Optional<TlsFiles> tls =
-        path(host, "tls-certificate")
+        optionalPath(host, "tls-certificate")
             .map(certificate -> new TlsFiles(certificate, Path.of(host.text("tls-key"))));
     return new HostSettings(
         host.text("id"),
@@ -155,7 +155,7 @@
         HostAddress.parse(host.text("http-address")),
         host.text("operator-token"),
         host.text("runner-token"),
-        path(host, "data-folder"),
+        optionalPath(host, "data-folder"),
         tls,
         new RequestLimits(
             host.wholeNumber("max-open-requests"), host.wholeNumber("max-body-kib") * 1024),
@@ -163,7 +163,7 @@
         peers);
   }
 
-  private static Optional<Path> path(ValidSection section, String key) {
+  private static Optional<Path> optionalPath(ValidSection section, String key) {
     return section.text(key).isEmpty() ? Optional.empty() : Optional.of(Path.of(section.text(key)));
   }
 }
--- a/burdockbay-server/src/main/java/org/burdockbay/server/settings/HostSettingsSchema.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/settings/HostSettingsSchema.java
@@ -11,32 +11,34 @@
 /** The schema of a host's settings file. */
 public final class HostSettingsSchema {
 
-  private static final String ADDRESS = "\\d{1,3}(\\.\\d{1,3}){3}:\\d{1,5}";
+  private static final String ADDRESS_PATTERN = "\\d{1,3}(\\.\\d{1,3}){3}:\\d{1,5}";
   private static final String ADDRESS_HELP = "an IPv4 number and a port, as 10.0.0.1:7100";
   private static final String NAME_HELP = "a name of letters, digits, dots, dashes, underscores";
 
   /** The sections of the file. */
-  public static final DocumentSchema SCHEMA = DocumentSchema.of(host(), peer());
+  public static final DocumentSchema SCHEMA = DocumentSchema.of(hostSection(), peerSection());
 
   private HostSettingsSchema() {}
 
-  private static SectionDefinition host() {
+  private static SectionDefinition hostSection() {
     return new SectionDefinition(
         "host",
         false,
         "This host.",
         List.of(
             key("id").text(DispatchSchema.NAME_PATTERN, NAME_HELP).build("Id of the host."),
-            domain(),
+            domainSetting(),
             key("cluster")
                 .text(DispatchSchema.NAME_PATTERN, NAME_HELP)
                 .build("Name of the cluster; hosts of another one are refused."),
             key("secret")
                 .text("\\S{16,256}", "16 to 256 characters without blanks")
                 .build("Secret that the hosts of the cluster share to know each other."),
-            key("peer-address").text(ADDRESS, ADDRESS_HELP).build("Where other hosts connect."),
+            key("peer-address")
+                .text(ADDRESS_PATTERN, ADDRESS_HELP)
+                .build("Where other hosts connect."),
             key("http-address")
-                .text(ADDRESS, ADDRESS_HELP)
+                .text(ADDRESS_PATTERN, ADDRESS_HELP)
                 .build("Where callers, runners and operators connect."),
             key("operator-token")
                 .text("\\S{16,256}", "16 to 256 characters without blanks")
@@ -70,21 +72,21 @@
                 .build("Longest time for which a planned stop waits for requests in flight.")));
   }
 
-  private static SectionDefinition peer() {
+  private static SectionDefinition peerSection() {
     return new SectionDefinition(
         "peer",
         true,
         "Another host; the header carries its id.",
         List.of(
-            domain(),
-            key("address").text(ADDRESS, ADDRESS_HELP).build("Its peer address."),
+            domainSetting(),
+            key("address").text(ADDRESS_PATTERN, ADDRESS_HELP).build("Its peer address."),
             key("voter")
                 .flag()
                 .defaultValue("false")
                 .build("Whether it has a data folder and takes part in the agreement.")));
   }
 
-  private static SettingDefinition domain() {
+  private static SettingDefinition domainSetting() {
     return key("domain")
         .text(DispatchSchema.NAME_PATTERN, NAME_HELP)
         .build("The failure domain of the host.");
--- a/burdockbay-server/src/main/java/org/burdockbay/server/storage/DataFolder.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/storage/DataFolder.java
@@ -21,10 +21,10 @@
   /** Incarnation of the folders with which a cluster is created by hand. */
   public static final long BOOTSTRAP_INCARNATION = 1;
 
-  private static final int FORMAT = 1;
-  private static final String IDENTITY = "identity";
-  private static final String IDENTITY_DRAFT = IDENTITY + RecordFile.DRAFT_SUFFIX;
-  private static final String LOCK = "lock";
+  private static final int FORMAT_VERSION = 1;
+  private static final String IDENTITY_FILE = "identity";
+  private static final String IDENTITY_TEMP_FILE = IDENTITY_FILE + RecordFile.TEMP_FILE_SUFFIX;
+  private static final String LOCK_FILE = "lock";
 
   private final Path path;
   private final Closeable lock;
@@ -43,7 +43,7 @@
    */
   public static DataFolder bootstrap(Path path, String cluster, String host)
       throws StorageException {
-    if (FileDisk.INSTANCE.exists(path.resolve(IDENTITY))) {
+    if (FileDisk.INSTANCE.exists(path.resolve(IDENTITY_FILE))) {
       throw new StorageException(Fault.FOREIGN, path + " is in use already; not initialised again");
     }
     return openOrCreate(FileDisk.INSTANCE, path, cluster, host, BOOTSTRAP_INCARNATION);
@@ -84,7 +84,7 @@
   }
 
   /** Returns the folder of an agreement group. */
-  public Path group(int number) {
+  public Path groupFolder(int number) {
     return path.resolve("group-" + number);
   }
 
@@ -103,45 +103,47 @@
     try {
       disk.createFolders(path);
       Closeable lock =
-          disk.lock(path.resolve(LOCK))
+          disk.lock(path.resolve(LOCK_FILE))
               .orElseThrow(
                   () ->
                       new StorageException(Fault.FOREIGN, path + " is in use by another process"));
-      Path file = path.resolve(IDENTITY);
+      Path file = path.resolve(IDENTITY_FILE);
       if (!disk.exists(file)) {
-        create(disk, path, file, cluster, host, newIncarnation);
+        createIdentity(disk, path, file, cluster, host, newIncarnation);
       }
       // A process that was killed may have created the identity without syncing its name.
       disk.syncFolder(path);
-      return new DataFolder(path, lock, identity(disk, file, cluster, host));
+      return new DataFolder(path, lock, readIdentity(disk, file, cluster, host));
     } catch (IOException e) {
       throw new StorageException(Fault.FAILED, path + " can't be opened: " + e, e);
     }
   }
 
-  private static void create(
+  private static void createIdentity(
       Disk disk, Path path, Path file, String cluster, String host, long incarnation)
       throws IOException, StorageException {
-    if (!disk.list(path).stream().map(Path::getFileName).allMatch(DataFolder::leftByCreation)) {
+    if (!disk.list(path).stream()
+        .map(Path::getFileName)
+        .allMatch(DataFolder::isLeftoverOfCreation)) {
       throw new StorageException(Fault.FOREIGN, path + " is not empty and has no identity");
     }
     disk.syncFolder(path.toAbsolutePath().getParent());
     Wire.FolderIdentity identity =
         Wire.FolderIdentity.newBuilder()
-            .setFormat(FORMAT)
+            .setFormat(FORMAT_VERSION)
             .setCluster(cluster)
             .setHost(host)
             .setIncarnation(incarnation)
             .build();
-    RecordFile.replace(disk, file, identity.toByteArray());
+    RecordFile.replaceAtomically(disk, file, identity.toByteArray());
   }
 
   /** Returns whether a creation that was cut short leaves a file of this name. */
-  private static boolean leftByCreation(Path name) {
-    return name.equals(Path.of(LOCK)) || name.equals(Path.of(IDENTITY_DRAFT));
+  private static boolean isLeftoverOfCreation(Path name) {
+    return name.equals(Path.of(LOCK_FILE)) || name.equals(Path.of(IDENTITY_TEMP_FILE));
   }
 
-  private static Wire.FolderIdentity identity(Disk disk, Path file, String cluster, String host)
+  private static Wire.FolderIdentity readIdentity(Disk disk, Path file, String cluster, String host)
       throws StorageException {
     RecordFile.Content content = RecordFile.read(disk, file);
     if (content.records().size() != 1) {
@@ -153,9 +155,10 @@
     } catch (InvalidProtocolBufferException e) {
       throw new StorageException(Fault.CORRUPT, file + " holds no identity", e);
     }
-    if (identity.getFormat() != FORMAT) {
+    if (identity.getFormat() != FORMAT_VERSION) {
       throw new StorageException(
-          Fault.FOREIGN, file + " has format " + identity.getFormat() + "; known is " + FORMAT);
+          Fault.FOREIGN,
+          file + " has format " + identity.getFormat() + "; known is " + FORMAT_VERSION);
     }
     if (!identity.getCluster().equals(cluster) || !identity.getHost().equals(host)) {
       throw new StorageException(
--- a/burdockbay-server/src/main/java/org/burdockbay/server/storage/EpochFile.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/storage/EpochFile.java
@@ -17,7 +17,7 @@
  */
 public final class EpochFile {
 
-  private static final String NAME = "epoch";
+  private static final String FILE_NAME = "epoch";
 
   private final Disk disk;
   private final Path file;
@@ -29,7 +29,7 @@
 
   EpochFile(Disk disk, Path folder) {
     this.disk = disk;
-    this.file = folder.resolve(NAME);
+    this.file = folder.resolve(FILE_NAME);
   }
 
   /**
@@ -60,12 +60,12 @@
     ByteBuffer record = ByteBuffer.wrap(records.getFirst());
     return switch (record.remaining()) {
       case Long.BYTES -> new Content(record.getLong(), ShardLayout.UNDIVIDED);
-      case Long.BYTES + Integer.BYTES -> new Content(record.getLong(), layout(record.getInt()));
+      case Long.BYTES + Integer.BYTES -> new Content(record.getLong(), toLayout(record.getInt()));
       default -> throw new StorageException(Fault.CORRUPT, file + " holds no epoch");
     };
   }
 
-  private ShardLayout layout(int shardsPerDomain) throws StorageException {
+  private ShardLayout toLayout(int shardsPerDomain) throws StorageException {
     if (shardsPerDomain < 0) {
       throw new StorageException(Fault.CORRUPT, file + " holds " + shardsPerDomain + " shards");
     }
@@ -81,7 +81,7 @@
     ByteBuffer record = ByteBuffer.allocate(Long.BYTES + Integer.BYTES);
     record.putLong(content.epoch()).putInt(content.layout().shardsPerDomain());
     try {
-      RecordFile.replace(disk, file, record.array());
+      RecordFile.replaceAtomically(disk, file, record.array());
     } catch (IOException e) {
       throw new StorageException(Fault.FAILED, file + " can't be written", e);
     }
--- a/burdockbay-server/src/main/java/org/burdockbay/server/storage/LogGap.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/storage/LogGap.java
@@ -6,7 +6,7 @@
  *
  * @param lastIndex the last entry read before the segment
  * @param lastTerm its term
- * @param nextIndex the entry that the segment follows
- * @param nextTerm its term
+ * @param baseIndex the entry that the segment follows
+ * @param baseTerm its term
  */
-public record LogGap(long lastIndex, long lastTerm, long nextIndex, long nextTerm) {}
+public record LogGap(long lastIndex, long lastTerm, long baseIndex, long baseTerm) {}
--- a/burdockbay-server/src/main/java/org/burdockbay/server/storage/LogStore.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/storage/LogStore.java
@@ -33,11 +33,11 @@
  */
 public final class LogStore implements AutoCloseable {
 
-  private static final String SEGMENT = "segment-";
-  private static final String SNAPSHOT = "snapshot";
+  private static final String SEGMENT_PREFIX = "segment-";
+  private static final String SNAPSHOT_FILE = "snapshot";
 
   /** Size at which buffered records are written, in bytes; bounds the memory of a write. */
-  private static final int LARGEST_WRITE = 1024 * 1024;
+  private static final int FLUSH_THRESHOLD_BYTES = 1024 * 1024;
 
   private final Disk disk;
   private final Path folder;
@@ -45,15 +45,15 @@
   private final TreeMap<Long, Path> segments = new TreeMap<>();
 
   /** The entry that each segment follows, by the segment's number. */
-  private final Map<Long, Long> segmentBases = new HashMap<>();
+  private final Map<Long, Long> segmentBaseIndexes = new HashMap<>();
 
-  private final LogOutline outline = new LogOutline();
-  private final ByteArrayOutputStream buffered = new ByteArrayOutputStream();
-  private final RecoveredLog recovered;
-  private final RecoveryReport report;
-  private int cutBytes;
+  private final LogTermIndex termIndex = new LogTermIndex();
+  private final ByteArrayOutputStream writeBuffer = new ByteArrayOutputStream();
+  private final RecoveredLog recoveredLog;
+  private final RecoveryReport recoveryReport;
+  private int truncatedBytes;
   private HardState hardState = HardState.INITIAL;
-  private Disk.Writer segment;
+  private Disk.Writer currentSegment;
   private boolean failed;
 
   /**
@@ -75,8 +75,8 @@
       // What an earlier process created or renamed may be unsynced, the folder itself included.
       disk.syncFolder(segments.isEmpty() ? folder.toAbsolutePath().getParent() : folder);
       SegmentReader reader = readSegments();
-      this.recovered = recover(reader);
-      this.report = reportOf(reader);
+      this.recoveredLog = recover(reader);
+      this.recoveryReport = createRecoveryReport(reader);
       startSegment();
     } catch (IOException e) {
       throw new StorageException(Fault.FAILED, folder + " can't be opened: " + e, e);
@@ -84,13 +84,13 @@
   }
 
   /** Returns what the files held when they were opened. */
-  public RecoveredLog recovered() {
-    return recovered;
+  public RecoveredLog recoveredLog() {
+    return recoveredLog;
   }
 
   /** Returns what was found in the files when they were opened. */
-  public RecoveryReport report() {
-    return report;
+  public RecoveryReport recoveryReport() {
+    return recoveryReport;
   }
 
   /**
@@ -104,7 +104,7 @@
     }
     try {
       for (RaftEffect.Persist persist : batch) {
-        writeOne(persist);
+        writeRecords(persist);
       }
       flush();
     } catch (IOException e) {
@@ -116,13 +116,13 @@
   @Override
   public void close() throws StorageException {
     try {
-      segment.close();
+      currentSegment.close();
     } catch (IOException e) {
       throw new StorageException(Fault.FAILED, folder + " can't be closed", e);
     }
   }
 
-  private void writeOne(RaftEffect.Persist persist) throws IOException {
+  private void writeRecords(RaftEffect.Persist persist) throws IOException {
     if (persist.hardState().isPresent()) {
       hardState = persist.hardState().get();
       append(LogRecordCodec.hardState(hardState));
@@ -132,66 +132,67 @@
     }
     if (persist.truncateFrom().isPresent()) {
       append(LogRecordCodec.truncateFrom(persist.truncateFrom().getAsLong()));
-      outline.truncateFrom(persist.truncateFrom().getAsLong());
+      termIndex.truncateFrom(persist.truncateFrom().getAsLong());
     }
     for (LogEntry entry : persist.entries()) {
       append(LogRecordCodec.entry(entry));
-      outline.append(entry.index(), entry.term());
+      termIndex.append(entry.index(), entry.term());
     }
   }
 
   private void writeSnapshot(Snapshot snapshot) throws IOException {
     flush();
-    RecordFile.replace(disk, folder.resolve(SNAPSHOT), LogRecordCodec.snapshot(snapshot));
-    if (outline.holds(snapshot.index(), snapshot.term())) {
-      outline.discardBefore(snapshot.index());
+    RecordFile.replaceAtomically(
+        disk, folder.resolve(SNAPSHOT_FILE), LogRecordCodec.snapshot(snapshot));
+    if (termIndex.containsEntry(snapshot.index(), snapshot.term())) {
+      termIndex.discardBefore(snapshot.index());
     } else {
       // The entries are of a branch that the snapshot replaces.
-      outline.reset(snapshot.index(), snapshot.term());
+      termIndex.reset(snapshot.index(), snapshot.term());
     }
-    segment.close();
+    currentSegment.close();
     startSegment();
     // A segment whose successor begins at or before the snapshot holds nothing that is needed.
     while (segments.size() > 1) {
       long next = segments.higherKey(segments.firstKey());
-      if (segmentBases.get(next) > snapshot.index()) {
+      if (segmentBaseIndexes.get(next) > snapshot.index()) {
         break;
       }
-      segmentBases.remove(segments.firstKey());
+      segmentBaseIndexes.remove(segments.firstKey());
       disk.delete(segments.pollFirstEntry().getValue());
     }
   }
 
   private void startSegment() throws IOException {
     long number = segments.isEmpty() ? 1 : segments.lastKey() + 1;
-    Path file = folder.resolve(String.format("%s%012d", SEGMENT, number));
+    Path file = folder.resolve(String.format("%s%012d", SEGMENT_PREFIX, number));
     segments.put(number, file);
-    segmentBases.put(number, outline.lastIndex());
-    segment = disk.create(file);
-    append(LogRecordCodec.base(group.number(), outline.lastIndex(), outline.lastTerm()));
+    segmentBaseIndexes.put(number, termIndex.lastIndex());
+    currentSegment = disk.create(file);
+    append(LogRecordCodec.base(group.number(), termIndex.lastIndex(), termIndex.lastTerm()));
     append(LogRecordCodec.hardState(hardState));
     flush();
     disk.syncFolder(folder);
   }
 
   private void append(byte[] payload) throws IOException {
-    buffered.write(RecordFile.frame(payload).array());
-    if (buffered.size() >= LARGEST_WRITE) {
+    writeBuffer.write(RecordFile.frame(payload).array());
+    if (writeBuffer.size() >= FLUSH_THRESHOLD_BYTES) {
       flush();
     }
   }
 
   private void flush() throws IOException {
-    segment.write(ByteBuffer.wrap(buffered.toByteArray()));
-    buffered.reset();
-    segment.sync();
+    currentSegment.write(ByteBuffer.wrap(writeBuffer.toByteArray()));
+    writeBuffer.reset();
+    currentSegment.sync();
   }
 
   private void findSegments() throws IOException {
     for (Path file : disk.list(folder)) {
       String name = file.getFileName().toString();
-      if (name.startsWith(SEGMENT)) {
-        segments.put(Long.parseLong(name.substring(SEGMENT.length())), file);
+      if (name.startsWith(SEGMENT_PREFIX)) {
+        segments.put(Long.parseLong(name.substring(SEGMENT_PREFIX.length())), file);
       }
     }
   }
@@ -201,7 +202,7 @@
     for (Map.Entry<Long, Path> next : segments.entrySet()) {
       reader.beginSegment();
       readSegment(next.getValue(), reader);
-      segmentBases.put(next.getKey(), reader.segmentBase());
+      segmentBaseIndexes.put(next.getKey(), reader.segmentBaseIndex());
     }
     if (!segments.isEmpty()) {
       // A process that was killed may have left writes without their sync, and the entries read
@@ -211,10 +212,10 @@
     return reader;
   }
 
-  private RecoveryReport reportOf(SegmentReader reader) {
+  private RecoveryReport createRecoveryReport(SegmentReader reader) {
     long first = segments.isEmpty() ? 0 : segments.firstKey();
     long last = segments.isEmpty() ? 0 : segments.lastKey();
-    return new RecoveryReport(first, last, cutBytes, reader.gaps());
+    return new RecoveryReport(first, last, truncatedBytes, reader.gaps());
   }
 
   private RecoveredLog recover(SegmentReader reader) throws StorageException {
@@ -228,27 +229,27 @@
     List<LogEntry> entries = new ArrayList<>();
     if (snapshot.isEmpty()) {
       entries.addAll(reader.entries());
-    } else if (reader.holds(snapshot.get().index(), snapshot.get().term())) {
+    } else if (reader.containsEntry(snapshot.get().index(), snapshot.get().term())) {
       // Entries after the snapshot count only if the log held the snapshot's last entry itself;
       // otherwise they stem from a branch that the snapshot replaced.
       reader.entries().stream().filter(entry -> entry.index() > covered).forEach(entries::add);
     }
     hardState = reader.lastHardState();
-    outline.reset(covered, snapshot.map(Snapshot::term).orElse(0L));
-    entries.forEach(entry -> outline.append(entry.index(), entry.term()));
+    termIndex.reset(covered, snapshot.map(Snapshot::term).orElse(0L));
+    entries.forEach(entry -> termIndex.append(entry.index(), entry.term()));
     return new RecoveredLog(hardState, snapshot, entries);
   }
 
   private void readSegment(Path file, SegmentReader reader) throws IOException, StorageException {
     RecordFile.Content content = RecordFile.read(disk, file);
     boolean last = file.equals(segments.lastEntry().getValue());
-    if (content.torn()) {
+    if (content.isTorn()) {
       if (!last) {
         throw new StorageException(
-            Fault.CORRUPT, file + " is corrupt at byte " + content.goodBytes());
+            Fault.CORRUPT, file + " is corrupt at byte " + content.validBytes());
       }
-      cutBytes = content.fileBytes() - content.goodBytes();
-      disk.truncate(file, content.goodBytes());
+      truncatedBytes = content.fileBytes() - content.validBytes();
+      disk.truncate(file, content.validBytes());
     }
     for (byte[] record : content.records()) {
       try {
@@ -260,12 +261,12 @@
   }
 
   private Optional<Snapshot> loadSnapshot() throws StorageException {
-    Path file = folder.resolve(SNAPSHOT);
+    Path file = folder.resolve(SNAPSHOT_FILE);
     if (!disk.exists(file)) {
       return Optional.empty();
     }
     RecordFile.Content content = RecordFile.read(disk, file);
-    if (content.torn() || content.records().size() != 1) {
+    if (content.isTorn() || content.records().size() != 1) {
       throw new StorageException(Fault.CORRUPT, file + " is not whole");
     }
     try {
