--- a/burdockbay-server/src/main/java/org/burdockbay/server/storage/LogOutline.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/storage/LogTermIndex.java
@@ -3,46 +3,46 @@
 import java.util.TreeMap;
 
 /** The terms of the entries that a log holds, without their content. */
-final class LogOutline {
+final class LogTermIndex {
 
   /** Term by the first entry that has it, beginning with the entry that the log follows. */
-  private final TreeMap<Long, Long> terms = new TreeMap<>();
+  private final TreeMap<Long, Long> termsByFirstIndex = new TreeMap<>();
 
   private long lastIndex;
 
-  LogOutline() {
+  LogTermIndex() {
     reset(0, 0);
   }
 
   /** Forgets all entries; the log then follows the given one. */
   void reset(long index, long term) {
-    terms.clear();
-    terms.put(index, term);
+    termsByFirstIndex.clear();
+    termsByFirstIndex.put(index, term);
     lastIndex = index;
   }
 
   void append(long index, long term) {
     truncateFrom(index);
     if (lastTerm() != term) {
-      terms.put(index, term);
+      termsByFirstIndex.put(index, term);
     }
     lastIndex = index;
   }
 
   void truncateFrom(long index) {
-    terms.tailMap(index, true).clear();
+    termsByFirstIndex.tailMap(index, true).clear();
     lastIndex = index - 1;
   }
 
   /** Forgets the entries before one that is held. */
   void discardBefore(long index) {
-    terms.headMap(terms.floorKey(index), false).clear();
+    termsByFirstIndex.headMap(termsByFirstIndex.floorKey(index), false).clear();
   }
 
-  boolean holds(long index, long term) {
-    return index >= terms.firstKey()
+  boolean containsEntry(long index, long term) {
+    return index >= termsByFirstIndex.firstKey()
         && index <= lastIndex
-        && terms.floorEntry(index).getValue() == term;
+        && termsByFirstIndex.floorEntry(index).getValue() == term;
   }
 
   long lastIndex() {
@@ -50,6 +50,6 @@
   }
 
   long lastTerm() {
-    return terms.lastEntry().getValue();
+    return termsByFirstIndex.lastEntry().getValue();
   }
 }
--- a/burdockbay-server/src/main/java/org/burdockbay/server/storage/LogWriter.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/storage/LogWriter.java
@@ -16,8 +16,8 @@
 public final class LogWriter implements AutoCloseable {
 
   private final LogStore store;
-  private final LongConsumer synced;
-  private final Consumer<StorageException> failed;
+  private final LongConsumer onSynced;
+  private final Consumer<StorageException> onFailure;
   private final BlockingQueue<RaftEffect.Persist> queue = new LinkedBlockingQueue<>();
   private final Thread thread;
 
@@ -29,8 +29,8 @@
    */
   public LogWriter(LogStore store, LongConsumer synced, Consumer<StorageException> failed) {
     this.store = store;
-    this.synced = synced;
-    this.failed = failed;
+    this.onSynced = synced;
+    this.onFailure = failed;
     this.thread = Thread.ofPlatform().name("log-writer").daemon().unstarted(this::run);
   }
 
@@ -62,16 +62,16 @@
         batch.add(queue.take());
         queue.drainTo(batch);
         store.write(batch);
-        synced.accept(batch.getLast().ticket());
+        onSynced.accept(batch.getLast().ticket());
         batch.clear();
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     } catch (StorageException e) {
-      failed.accept(e);
+      onFailure.accept(e);
     } catch (RuntimeException e) {
       // Without this thread nothing is synced, while the host would go on as a voter.
-      failed.accept(new StorageException(Fault.FAILED, "the log writer failed: " + e, e));
+      onFailure.accept(new StorageException(Fault.FAILED, "the log writer failed: " + e, e));
     }
   }
 }
--- a/burdockbay-server/src/main/java/org/burdockbay/server/storage/RecordFile.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/storage/RecordFile.java
@@ -18,10 +18,10 @@
 
   static final int HEADER_BYTES = 8;
 
-  /** Ending of the file that {@link #replace} writes first. */
-  static final String DRAFT_SUFFIX = ".new";
+  /** Ending of the file that {@link #replaceAtomically} writes first. */
+  static final String TEMP_FILE_SUFFIX = ".new";
 
-  private static final int LARGEST_RECORD = 64 * 1024 * 1024;
+  private static final int MAX_RECORD_BYTES = 64 * 1024 * 1024;
 
   private RecordFile() {}
 
@@ -47,9 +47,9 @@
     List<byte[]> records = new ArrayList<>();
     int position = 0;
     while (position < bytes.length) {
-      int end = endOfRecord(bytes, position);
+      int end = findRecordEnd(bytes, position);
       if (end < 0) {
-        if (tornFrom(bytes, position)) {
+        if (isTornTail(bytes, position)) {
           break;
         }
         throw new StorageException(
@@ -64,7 +64,7 @@
   }
 
   /** Writes one record to a new file and syncs it. */
-  static void writeWhole(Disk disk, Path file, byte[] payload) throws IOException {
+  static void writeSingleRecord(Disk disk, Path file, byte[] payload) throws IOException {
     try (Disk.Writer writer = disk.create(file)) {
       writer.write(frame(payload));
       writer.sync();
@@ -72,15 +72,15 @@
   }
 
   /** Replaces a file by one record; the name is durable when this returns. */
-  static void replace(Disk disk, Path file, byte[] payload) throws IOException {
-    Path draft = file.resolveSibling(file.getFileName() + DRAFT_SUFFIX);
-    writeWhole(disk, draft, payload);
+  static void replaceAtomically(Disk disk, Path file, byte[] payload) throws IOException {
+    Path draft = file.resolveSibling(file.getFileName() + TEMP_FILE_SUFFIX);
+    writeSingleRecord(disk, draft, payload);
     disk.move(draft, file);
     disk.syncFolder(file.getParent());
   }
 
   /** Returns the end of the record at a position, or -1 if no whole, correct record is there. */
-  private static int endOfRecord(byte[] bytes, int position) {
+  private static int findRecordEnd(byte[] bytes, int position) {
     if (bytes.length - position < HEADER_BYTES) {
       return -1;
     }
@@ -95,25 +95,25 @@
     return (int) crc.getValue() == expected ? position + HEADER_BYTES + length : -1;
   }
 
-  private static boolean tornFrom(byte[] bytes, int position) {
-    if (zerosFrom(bytes, position) || bytes.length - position < HEADER_BYTES) {
+  private static boolean isTornTail(byte[] bytes, int position) {
+    if (isZeroFilled(bytes, position) || bytes.length - position < HEADER_BYTES) {
       return true;
     }
     int length = ByteBuffer.wrap(bytes, position, HEADER_BYTES).getInt();
-    if (length <= 0 || length > LARGEST_RECORD) {
+    if (length <= 0 || length > MAX_RECORD_BYTES) {
       return false;
     }
     long end = (long) position + HEADER_BYTES + length;
     if (end > bytes.length) {
-      return !anyRecordAfter(bytes, position + 1);
+      return !hasRecordAfter(bytes, position + 1);
     }
     return end == bytes.length && bytes[bytes.length - 1] == 0;
   }
 
   /** Returns whether a correct record follows, so that the damage can't be the tail's. */
-  private static boolean anyRecordAfter(byte[] bytes, int from) {
+  private static boolean hasRecordAfter(byte[] bytes, int from) {
     for (int position = from; position < bytes.length - HEADER_BYTES; position++) {
-      int end = endOfRecord(bytes, position);
+      int end = findRecordEnd(bytes, position);
       if (end > 0) {
         return true;
       }
@@ -121,7 +121,7 @@
     return false;
   }
 
-  private static boolean zerosFrom(byte[] bytes, int position) {
+  private static boolean isZeroFilled(byte[] bytes, int position) {
     for (int i = position; i < bytes.length; i++) {
       if (bytes[i] != 0) {
         return false;
@@ -140,13 +140,13 @@
    * What a file holds.
    *
    * @param records the payloads
-   * @param goodBytes where the last whole record ends
+   * @param validBytes where the last whole record ends
    * @param fileBytes size of the file
    */
-  record Content(List<byte[]> records, int goodBytes, int fileBytes) {
+  record Content(List<byte[]> records, int validBytes, int fileBytes) {
 
-    boolean torn() {
-      return goodBytes < fileBytes;
+    boolean isTorn() {
+      return validBytes < fileBytes;
     }
   }
 }
--- a/burdockbay-server/src/main/java/org/burdockbay/server/storage/RecoveryReport.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/storage/RecoveryReport.java
@@ -7,10 +7,11 @@
  *
  * @param firstSegment number of the oldest segment; 0 if there was none
  * @param lastSegment number of the newest segment; 0 if there was none
- * @param cutBytes size of the incomplete record that was cut off the newest segment
+ * @param truncatedBytes size of the incomplete record that was cut off the newest segment
  * @param gaps segments that don't follow the one before
  */
-public record RecoveryReport(long firstSegment, long lastSegment, int cutBytes, List<LogGap> gaps) {
+public record RecoveryReport(
+    long firstSegment, long lastSegment, int truncatedBytes, List<LogGap> gaps) {
 
   /** Copies the gaps. */
   public RecoveryReport {
--- a/burdockbay-server/src/main/java/org/burdockbay/server/storage/SegmentReader.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/storage/SegmentReader.java
@@ -19,7 +19,7 @@
   private HardState hardState = HardState.INITIAL;
   private long baseIndex;
   private long baseTerm;
-  private long segmentBase;
+  private long segmentBaseIndex;
 
   SegmentReader(GroupId group) {
     this.group = group;
@@ -27,15 +27,15 @@
 
   /** A segment that lost its content in a power loss follows the last entry read before it. */
   void beginSegment() {
-    segmentBase = lastIndex();
+    segmentBaseIndex = lastIndex();
   }
 
   @Override
-  public void base(int number, long index, long term) throws WireException {
+  public void visitBase(int number, long index, long term) throws WireException {
     if (number != group.number()) {
       throw new WireException("a segment of group " + number + ", not of " + group.number());
     }
-    segmentBase = index;
+    segmentBaseIndex = index;
     if (index != lastIndex() || term != lastTerm()) {
       // The log was replaced by a snapshot here, or the segments before were deleted.
       gaps.add(new LogGap(lastIndex(), lastTerm(), index, term));
@@ -46,12 +46,12 @@
   }
 
   @Override
-  public void hardState(HardState state) {
+  public void visitHardState(HardState state) {
     hardState = state;
   }
 
   @Override
-  public void truncateFrom(long index) {
+  public void visitTruncation(long index) {
     removeFrom(index);
     if (index <= baseIndex) {
       // The entries before were in older segments, which a snapshot has covered since.
@@ -61,7 +61,7 @@
   }
 
   @Override
-  public void entry(LogEntry entry) throws WireException {
+  public void visitEntry(LogEntry entry) throws WireException {
     removeFrom(entry.index());
     if (entry.index() != lastIndex() + 1) {
       throw new WireException("entry " + entry.index() + " follows " + lastIndex());
@@ -82,8 +82,8 @@
   }
 
   /** Returns the entry that the segment read last follows. */
-  long segmentBase() {
-    return segmentBase;
+  long segmentBaseIndex() {
+    return segmentBaseIndex;
   }
 
   long baseIndex() {
@@ -94,7 +94,7 @@
     return entries.isEmpty() ? baseIndex : entries.getLast().index();
   }
 
-  boolean holds(long index, long term) {
+  boolean containsEntry(long index, long term) {
     if (index == baseIndex) {
       return term == baseTerm;
     }
--- a/burdockbay-server/src/main/java/org/burdockbay/server/transport/EnvelopeDecoder.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/transport/EnvelopeDecoder.java
@@ -23,7 +23,7 @@
     int bytes = frame.readableBytes();
     Wire.Envelope envelope =
         Wire.Envelope.parseFrom(CodedInputStream.newInstance(frame.nioBuffer()));
-    counters.received(envelope, bytes);
+    counters.countReceived(envelope, bytes);
     messages.add(envelope);
   }
 }
--- a/burdockbay-server/src/main/java/org/burdockbay/server/transport/LoopWatch.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/transport/EventLoopMonitor.java
@@ -12,16 +12,16 @@
  *
  * <p>What others have sent isn't read in that time, so it is part of how long a message waits here.
  */
-public final class LoopWatch {
+public final class EventLoopMonitor {
 
   /** Time between two measurements, in milliseconds. */
-  private static final long PERIOD_MILLIS = 50;
+  private static final long MEASUREMENT_INTERVAL_MILLIS = 50;
 
   private final EventExecutor loop;
   private final Clock clock;
   private final WaitMeter waits;
 
-  private LoopWatch(EventExecutor loop, Clock clock, WaitMeter waits) {
+  private EventLoopMonitor(EventExecutor loop, Clock clock, WaitMeter waits) {
     this.loop = loop;
     this.clock = clock;
     this.waits = waits;
@@ -29,20 +29,20 @@
 
   /** Measures one of the loops from now on, until it is shut down. */
   public static void start(EventExecutorGroup loops, Clock clock, WaitMeter waits) {
-    new LoopWatch(loops.next(), clock, waits).measureLater();
+    new EventLoopMonitor(loops.next(), clock, waits).scheduleMeasurement();
   }
 
-  private void measureLater() {
-    long dueAt = clock.millis() + PERIOD_MILLIS;
-    loop.schedule(() -> measure(dueAt), PERIOD_MILLIS, TimeUnit.MILLISECONDS);
+  private void scheduleMeasurement() {
+    long dueAt = clock.millis() + MEASUREMENT_INTERVAL_MILLIS;
+    loop.schedule(() -> measure(dueAt), MEASUREMENT_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
   }
 
   private void measure(long dueAt) {
     long now = clock.millis();
     int waiting = loop instanceof SingleThreadEventExecutor single ? single.pendingTasks() : 0;
-    waits.waited(Math.max(0, now - dueAt), waiting, now);
+    waits.recordWait(Math.max(0, now - dueAt), waiting, now);
     if (!loop.isShuttingDown()) {
-      measureLater();
+      scheduleMeasurement();
     }
   }
 }
--- a/burdockbay-server/src/main/java/org/burdockbay/server/transport/Handshake.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/transport/Handshake.java
@@ -18,7 +18,7 @@
  */
 final class Handshake {
 
-  static final int PROTOCOL = 1;
+  static final int PROTOCOL_VERSION = 1;
   private static final int NONCE_BYTES = 16;
 
   private final TransportSettings settings;
@@ -32,10 +32,10 @@
   Wire.Hello hello() {
     byte[] nonce = new byte[NONCE_BYTES];
     if (!settings.secret().isEmpty()) {
-      Randomness.SECURE.nextBytes(nonce);
+      SecureRandomHolder.INSTANCE.nextBytes(nonce);
     }
     return Wire.Hello.newBuilder()
-        .setProtocol(PROTOCOL)
+        .setProtocol(PROTOCOL_VERSION)
         .setCluster(settings.cluster())
         .setHost(settings.host())
         .setIncarnation(incarnation)
@@ -44,14 +44,14 @@
   }
 
   /** Returns why the other end is refused, or empty if its greeting is acceptable. */
-  Optional<String> complaint(Wire.Hello hello) {
-    if (hello.getProtocol() != PROTOCOL) {
-      return Optional.of("protocol " + hello.getProtocol() + " instead of " + PROTOCOL);
+  Optional<String> rejectionReason(Wire.Hello hello) {
+    if (hello.getProtocol() != PROTOCOL_VERSION) {
+      return Optional.of("protocol " + hello.getProtocol() + " instead of " + PROTOCOL_VERSION);
     }
     if (!hello.getCluster().equals(settings.cluster())) {
       return Optional.of("cluster '" + hello.getCluster() + "'");
     }
-    if (hello.getHost().equals(settings.host()) || !settings.known().test(hello.getHost())) {
+    if (hello.getHost().equals(settings.host()) || !settings.isKnownHost().test(hello.getHost())) {
       return Optional.of("host '" + hello.getHost() + "' is not among the peers");
     }
     return Optional.empty();
@@ -74,14 +74,14 @@
     }
   }
 
-  boolean proven(Wire.Proof proof, Wire.Hello prover, Wire.Hello other) {
+  boolean isValidProof(Wire.Proof proof, Wire.Hello prover, Wire.Hello other) {
     return MessageDigest.isEqual(
         proof.getMac().toByteArray(), proof(prover, other).getMac().toByteArray());
   }
 
   /** Created at the first use, since seeding takes time that hosts without a secret don't need. */
-  private static final class Randomness {
+  private static final class SecureRandomHolder {
 
-    private static final SecureRandom SECURE = new SecureRandom();
+    private static final SecureRandom INSTANCE = new SecureRandom();
   }
 }
--- a/burdockbay-server/src/main/java/org/burdockbay/server/transport/InboundHandler.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/transport/InboundHandler.java
@@ -16,15 +16,15 @@
 
   private final Handshake handshake;
   private final PeerListener listener;
-  private final Consumer<String> connected;
-  private final long staleMillis;
+  private final Consumer<String> onAuthenticated;
+  private final long maxGapMillis;
   private final Clock clock;
   private final TransportCounters counters;
   private final EventLog log;
-  private Wire.@Nullable Hello own;
-  private Wire.@Nullable Hello other;
+  private Wire.@Nullable Hello localHello;
+  private Wire.@Nullable Hello remoteHello;
   private boolean authenticated;
-  private long receivedAt;
+  private long lastReceivedAt;
 
   /**
    * Creates the handler of one connection.
@@ -42,8 +42,8 @@
       EventLog log) {
     this.handshake = handshake;
     this.listener = listener;
-    this.connected = connected;
-    this.staleMillis = staleMillis;
+    this.onAuthenticated = connected;
+    this.maxGapMillis = staleMillis;
     this.clock = clock;
     this.counters = counters;
     this.log = log;
@@ -56,14 +56,14 @@
       return;
     }
     switch (envelope.getBodyCase()) {
-      case HELLO -> greeted(context, envelope.getHello());
-      case PROOF -> proven(context, envelope.getProof());
+      case HELLO -> helloReceived(context, envelope.getHello());
+      case PROOF -> proofReceived(context, envelope.getProof());
       case PING -> {
         if (authenticated) {
           context.writeAndFlush(Wire.Envelope.newBuilder().setPong(envelope.getPing()).build());
         }
       }
-      default -> message(context, envelope);
+      default -> messageReceived(context, envelope);
     }
   }
 
@@ -72,44 +72,44 @@
     refuse(context, "failed: " + cause.getMessage());
   }
 
-  private void greeted(ChannelHandlerContext context, Wire.Hello hello) {
-    Optional<String> complaint = handshake.complaint(hello);
-    if (complaint.isPresent() || other != null) {
+  private void helloReceived(ChannelHandlerContext context, Wire.Hello hello) {
+    Optional<String> complaint = handshake.rejectionReason(hello);
+    if (complaint.isPresent() || remoteHello != null) {
       refuse(context, complaint.orElse("greeted twice"));
       return;
     }
     Wire.Hello answer = handshake.hello();
-    own = answer;
-    other = hello;
+    localHello = answer;
+    remoteHello = hello;
     context.writeAndFlush(Wire.Envelope.newBuilder().setHello(answer).build());
   }
 
-  private void proven(ChannelHandlerContext context, Wire.Proof proof) {
-    Wire.Hello mine = own;
-    Wire.Hello theirs = other;
-    if (mine == null || theirs == null || !handshake.proven(proof, theirs, mine)) {
+  private void proofReceived(ChannelHandlerContext context, Wire.Proof proof) {
+    Wire.Hello mine = localHello;
+    Wire.Hello theirs = remoteHello;
+    if (mine == null || theirs == null || !handshake.isValidProof(proof, theirs, mine)) {
       refuse(context, "wrong secret");
       return;
     }
     authenticated = true;
-    receivedAt = clock.millis();
+    lastReceivedAt = clock.millis();
     context.writeAndFlush(
         Wire.Envelope.newBuilder().setProof(handshake.proof(mine, theirs)).build());
-    connected.accept(theirs.getHost());
-    listener.reset(theirs.getHost());
+    onAuthenticated.accept(theirs.getHost());
+    listener.connectionOpened(theirs.getHost());
   }
 
-  private void message(ChannelHandlerContext context, Wire.Envelope envelope) {
-    Wire.Hello theirs = other;
+  private void messageReceived(ChannelHandlerContext context, Wire.Envelope envelope) {
+    Wire.Hello theirs = remoteHello;
     if (!authenticated || theirs == null) {
       refuse(context, "a message before the handshake");
       return;
     }
-    if (stale(context, theirs.getHost())) {
+    if (closeIfStale(context, theirs.getHost())) {
       return;
     }
     try {
-      listener.received(theirs.getHost(), PeerCodec.decode(envelope));
+      listener.messageReceived(theirs.getHost(), PeerCodec.decode(envelope));
     } catch (WireException e) {
       refuse(context, e.getMessage());
     }
@@ -124,19 +124,19 @@
    * starts work whose caller was told that it hasn't run. Heartbeats leave no such gap on a
    * connection that works, and the other host connects again at once and says what holds now.
    */
-  private boolean stale(ChannelHandlerContext context, String host) {
-    long before = receivedAt;
-    receivedAt = clock.millis();
-    boolean stale = receivedAt - before > staleMillis;
+  private boolean closeIfStale(ChannelHandlerContext context, String host) {
+    long before = lastReceivedAt;
+    lastReceivedAt = clock.millis();
+    boolean stale = lastReceivedAt - before > maxGapMillis;
     if (stale) {
-      log.warn("connection-stale", "from=" + host + " silence=" + (receivedAt - before));
+      log.warn("connection-stale", "from=" + host + " silence=" + (lastReceivedAt - before));
       context.close();
     }
     return stale;
   }
 
   private void refuse(ChannelHandlerContext context, String reason) {
-    counters.refused();
+    counters.countRefused();
     log.warn(
         "peer-refused",
         "remote=" + context.channel().remoteAddress() + " reason=" + EventLog.quote(reason));
--- a/burdockbay-server/src/main/java/org/burdockbay/server/transport/OutboundConnection.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/transport/OutboundConnection.java
@@ -27,17 +27,17 @@
 final class OutboundConnection {
 
   /** The pause before the first new attempt, in milliseconds; each failure doubles it. */
-  private static final long SHORTEST_PAUSE_MILLIS = 25;
+  private static final long MIN_RETRY_INTERVAL_MILLIS = 25;
 
-  private static final long LONGEST_PAUSE_MILLIS = 200;
+  private static final long MAX_RETRY_INTERVAL_MILLIS = 200;
   private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
-  private static final int MOST_BYTES_WAITING = 64 * 1024 * 1024;
+  private static final int MAX_UNSENT_BYTES = 64 * 1024 * 1024;
 
   /** So many bytes that wait for a peer are logged; a link takes them in about a second. */
-  private static final int MANY_BYTES_WAITING = 256 * 1024;
+  private static final int BACKLOG_THRESHOLD_BYTES = 256 * 1024;
 
   /** Time between two such lines for a peer, in milliseconds. */
-  private static final long BACKLOG_LINE_MILLIS = 1_000;
+  private static final long BACKLOG_LOG_INTERVAL_MILLIS = 1_000;
 
   private final TransportSettings settings;
   private final PeerSettings peer;
@@ -47,13 +47,14 @@
   private final EventLog log;
   private final Clock clock;
   private final Bootstrap bootstrap;
-  private volatile @Nullable Channel ready;
-  private volatile long readyAt;
+  private volatile @Nullable Channel establishedChannel;
+  private volatile long establishedAt;
   private volatile boolean closed;
-  private volatile @Nullable ScheduledFuture<?> retry;
-  private volatile long backlogQuietUntil = Long.MIN_VALUE;
-  private volatile long pauseMillis = SHORTEST_PAUSE_MILLIS;
-  private volatile TransportCounters.Reason reason = TransportCounters.Reason.FIRST;
+  private volatile @Nullable ScheduledFuture<?> reconnectTask;
+  private volatile long nextBacklogLogAt = Long.MIN_VALUE;
+  private volatile long retryIntervalMillis = MIN_RETRY_INTERVAL_MILLIS;
+  private volatile TransportCounters.ConnectReason connectReason =
+      TransportCounters.ConnectReason.FIRST;
 
   OutboundConnection(
       TransportSettings settings,
@@ -77,7 +78,7 @@
             .channel(NioSocketChannel.class)
             .option(ChannelOption.TCP_NODELAY, true)
             .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
-            .handler(new PeerPipeline(counters, SenderHandler::new));
+            .handler(new PeerChannelInitializer(counters, OutboundHandler::new));
   }
 
   void connect() {
@@ -85,21 +86,21 @@
       return;
     }
     bootstrap
-        .connect(peer.address().socket())
+        .connect(peer.address().toSocketAddress())
         .addListener(
             (ChannelFuture attempt) -> {
               if (attempt.isSuccess()) {
-                attempt.channel().closeFuture().addListener(ended -> reconnectLater(attempt));
+                attempt.channel().closeFuture().addListener(ended -> scheduleReconnect(attempt));
               } else {
-                reason = TransportCounters.Reason.FAILED;
-                reconnectLater(attempt);
+                connectReason = TransportCounters.ConnectReason.FAILED;
+                scheduleReconnect(attempt);
               }
             });
   }
 
   /** Connects at once if it waits to try again, since the other host has shown to be up. */
-  void hurry() {
-    ScheduledFuture<?> waiting = retry;
+  void reconnectNow() {
+    ScheduledFuture<?> waiting = reconnectTask;
     if (waiting != null && waiting.cancel(false)) {
       connect();
     }
@@ -107,28 +108,28 @@
 
   /** Sends a message, or drops it where there is no connection; senders repeat what matters. */
   void send(Wire.Envelope envelope) {
-    Channel channel = ready;
+    Channel channel = establishedChannel;
     if (channel == null) {
-      counters.dropped(envelope);
+      counters.countDropped(envelope);
       return;
     }
     long waiting = unsentBytes(channel);
-    if (waiting > MANY_BYTES_WAITING) {
-      noteBacklog(waiting);
+    if (waiting > BACKLOG_THRESHOLD_BYTES) {
+      logBacklog(waiting);
     }
-    if (waiting > MOST_BYTES_WAITING) {
-      counters.dropped(envelope);
-      reason = TransportCounters.Reason.BACKLOG;
+    if (waiting > MAX_UNSENT_BYTES) {
+      counters.countDropped(envelope);
+      connectReason = TransportCounters.ConnectReason.BACKLOG;
       channel.close();
       return;
     }
-    counters.sent(envelope);
+    counters.countSent(envelope);
     channel.writeAndFlush(envelope);
   }
 
   /** Returns how many bytes wait on the connection. */
   long unsentBytes() {
-    Channel channel = ready;
+    Channel channel = establishedChannel;
     return channel == null ? 0 : unsentBytes(channel);
   }
 
@@ -137,21 +138,21 @@
     return buffer == null ? 0 : buffer.totalPendingWriteBytes();
   }
 
-  private void noteBacklog(long bytes) {
+  private void logBacklog(long bytes) {
     long now = clock.millis();
-    if (now >= backlogQuietUntil) {
-      backlogQuietUntil = now + BACKLOG_LINE_MILLIS;
+    if (now >= nextBacklogLogAt) {
+      nextBacklogLogAt = now + BACKLOG_LOG_INTERVAL_MILLIS;
       log.warn("peer-backlog", "to=" + peer.id() + " bytes=" + bytes);
     }
   }
 
   /** Closes the connection of the moment if it has been open for longer than the given time. */
-  boolean renew(long olderThanMillis) {
-    Channel channel = ready;
-    boolean old = channel != null && clock.millis() - readyAt > olderThanMillis;
+  boolean closeIfOlderThan(long olderThanMillis) {
+    Channel channel = establishedChannel;
+    boolean old = channel != null && clock.millis() - establishedAt > olderThanMillis;
     if (old) {
-      ready = null;
-      reason = TransportCounters.Reason.SILENT;
+      establishedChannel = null;
+      connectReason = TransportCounters.ConnectReason.SILENT;
       channel.close();
     }
     return old;
@@ -159,68 +160,74 @@
 
   void close() {
     closed = true;
-    Channel channel = ready;
+    Channel channel = establishedChannel;
     if (channel != null) {
       channel.close();
     }
   }
 
-  private void reconnectLater(ChannelFuture attempt) {
-    ready = null;
+  private void scheduleReconnect(ChannelFuture attempt) {
+    establishedChannel = null;
     if (!closed && !attempt.channel().eventLoop().isShuttingDown()) {
-      retry =
-          attempt.channel().eventLoop().schedule(this::connect, pauseMillis, TimeUnit.MILLISECONDS);
-      pauseMillis = Math.min(pauseMillis * 2, LONGEST_PAUSE_MILLIS);
+      reconnectTask =
+          attempt
+              .channel()
+              .eventLoop()
+              .schedule(this::connect, retryIntervalMillis, TimeUnit.MILLISECONDS);
+      retryIntervalMillis = Math.min(retryIntervalMillis * 2, MAX_RETRY_INTERVAL_MILLIS);
     }
   }
 
   /** The connecting end: greets, proves itself, then pings. */
-  private final class SenderHandler extends SimpleChannelInboundHandler<Wire.Envelope> {
+  private final class OutboundHandler extends SimpleChannelInboundHandler<Wire.Envelope> {
 
-    private Wire.Hello own = Wire.Hello.getDefaultInstance();
-    private Wire.Hello other = Wire.Hello.getDefaultInstance();
-    private long heardAt;
+    private Wire.Hello localHello = Wire.Hello.getDefaultInstance();
+    private Wire.Hello remoteHello = Wire.Hello.getDefaultInstance();
+    private long lastReceivedAt;
 
     @Override
     public void channelActive(ChannelHandlerContext context) {
-      own = handshake.hello();
-      heardAt = clock.millis();
-      context.writeAndFlush(Wire.Envelope.newBuilder().setHello(own).build());
+      localHello = handshake.hello();
+      lastReceivedAt = clock.millis();
+      context.writeAndFlush(Wire.Envelope.newBuilder().setHello(localHello).build());
       context
           .executor()
           .scheduleAtFixedRate(
-              () -> keepAlive(context),
-              settings.pingMillis(),
-              settings.pingMillis(),
+              () -> pingOrClose(context),
+              settings.pingIntervalMillis(),
+              settings.pingIntervalMillis(),
               TimeUnit.MILLISECONDS);
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext context, Wire.Envelope envelope) {
-      heardAt = clock.millis();
+      lastReceivedAt = clock.millis();
       switch (envelope.getBodyCase()) {
         case HELLO -> {
-          other = envelope.getHello();
+          remoteHello = envelope.getHello();
           boolean expected =
-              handshake.complaint(other).isEmpty() && other.getHost().equals(peer.id());
+              handshake.rejectionReason(remoteHello).isEmpty()
+                  && remoteHello.getHost().equals(peer.id());
           if (expected) {
             context.writeAndFlush(
-                Wire.Envelope.newBuilder().setProof(handshake.proof(own, other)).build());
+                Wire.Envelope.newBuilder()
+                    .setProof(handshake.proof(localHello, remoteHello))
+                    .build());
           } else {
             context.close();
           }
         }
         case PROOF -> {
-          if (handshake.proven(envelope.getProof(), other, own)) {
-            readyAt = clock.millis();
-            pauseMillis = SHORTEST_PAUSE_MILLIS;
-            ready = context.channel();
-            counters.connected(reason);
-            reason = TransportCounters.Reason.LOST;
-            listener.reset(peer.id());
-            listener.connected(peer.id(), other.getIncarnation());
+          if (handshake.isValidProof(envelope.getProof(), remoteHello, localHello)) {
+            establishedAt = clock.millis();
+            retryIntervalMillis = MIN_RETRY_INTERVAL_MILLIS;
+            establishedChannel = context.channel();
+            counters.countConnection(connectReason);
+            connectReason = TransportCounters.ConnectReason.LOST;
+            listener.connectionOpened(peer.id());
+            listener.outboundConnected(peer.id(), remoteHello.getIncarnation());
           } else {
-            counters.refused();
+            counters.countRefused();
             context.close();
           }
         }
@@ -235,14 +242,14 @@
       context.close();
     }
 
-    private void keepAlive(ChannelHandlerContext context) {
+    private void pingOrClose(ChannelHandlerContext context) {
       if (!context.channel().isActive()) {
         return;
       }
-      if (clock.millis() - heardAt > settings.silenceMillis()) {
-        reason = TransportCounters.Reason.SILENT;
+      if (clock.millis() - lastReceivedAt > settings.silenceTimeoutMillis()) {
+        connectReason = TransportCounters.ConnectReason.SILENT;
         context.close();
-      } else if (context.channel().equals(ready)) {
+      } else if (context.channel().equals(establishedChannel)) {
         context.writeAndFlush(Wire.Envelope.newBuilder().setPing(clock.millis()).build());
       }
     }
--- a/burdockbay-server/src/main/java/org/burdockbay/server/transport/PeerPipeline.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/transport/PeerChannelInitializer.java
@@ -10,15 +10,15 @@
 import java.util.function.Supplier;
 
 /** The handlers of a connection between hosts: frames, protobuf, and one handler of ours. */
-final class PeerPipeline extends ChannelInitializer<SocketChannel> {
+final class PeerChannelInitializer extends ChannelInitializer<SocketChannel> {
 
-  private static final int LARGEST_FRAME = 64 * 1024 * 1024;
-  private static final int LENGTH_BYTES = 4;
+  private static final int MAX_FRAME_BYTES = 64 * 1024 * 1024;
+  private static final int LENGTH_FIELD_BYTES = 4;
 
   private final TransportCounters counters;
   private final Supplier<ChannelHandler> handler;
 
-  PeerPipeline(TransportCounters counters, Supplier<ChannelHandler> handler) {
+  PeerChannelInitializer(TransportCounters counters, Supplier<ChannelHandler> handler) {
     this.counters = counters;
     this.handler = handler;
   }
@@ -27,9 +27,10 @@
   protected void initChannel(SocketChannel channel) {
     ChannelPipeline pipeline = channel.pipeline();
     pipeline.addLast(
-        new LengthFieldBasedFrameDecoder(LARGEST_FRAME, 0, LENGTH_BYTES, 0, LENGTH_BYTES));
+        new LengthFieldBasedFrameDecoder(
+            MAX_FRAME_BYTES, 0, LENGTH_FIELD_BYTES, 0, LENGTH_FIELD_BYTES));
     pipeline.addLast(new EnvelopeDecoder(counters));
-    pipeline.addLast(new LengthFieldPrepender(LENGTH_BYTES));
+    pipeline.addLast(new LengthFieldPrepender(LENGTH_FIELD_BYTES));
     pipeline.addLast(new ProtobufEncoder());
     pipeline.addLast(handler.get());
   }
--- a/burdockbay-server/src/main/java/org/burdockbay/server/transport/PeerListener.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/transport/PeerListener.java
@@ -6,15 +6,15 @@
 public interface PeerListener {
 
   /** A message arrived from an authenticated host. */
-  void received(String host, PeerMessage message);
+  void messageReceived(String host, PeerMessage message);
 
   /** A connection to or from the host is new, so messages on an earlier one may be lost. */
-  void reset(String host);
+  void connectionOpened(String host);
 
   /**
    * An outbound connection to the host has been established.
    *
    * @param incarnation incarnation of the host's process at the other end
    */
-  default void connected(String host, long incarnation) {}
+  default void outboundConnected(String host, long incarnation) {}
 }
--- a/burdockbay-server/src/main/java/org/burdockbay/server/transport/PeerTransport.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/transport/PeerTransport.java
@@ -25,9 +25,9 @@
   private final TransportCounters counters;
   private final EventLog log;
   private final Clock clock;
-  private final EventLoopGroup loops;
+  private final EventLoopGroup eventLoops;
   private final Map<String, OutboundConnection> outbound = new ConcurrentHashMap<>();
-  private @Nullable Channel server;
+  private @Nullable Channel serverChannel;
   private @Nullable PeerListener listener;
 
   /** Creates a transport that is not started yet. */
@@ -42,13 +42,14 @@
     this.counters = counters;
     this.log = log;
     this.clock = clock;
-    counters.showUnsent(this::mostUnsent);
-    this.loops = new MultiThreadIoEventLoopGroup(settings.loops(), NioIoHandler.newFactory());
+    counters.registerUnsentGauge(this::maxUnsentBytes);
+    this.eventLoops =
+        new MultiThreadIoEventLoopGroup(settings.threadCount(), NioIoHandler.newFactory());
   }
 
   /** Returns the threads that carry connections, for other traffic to share them. */
-  public EventLoopGroup loops() {
-    return loops;
+  public EventLoopGroup eventLoops() {
+    return eventLoops;
   }
 
   /**
@@ -60,29 +61,29 @@
     listener = peerListener;
     ServerBootstrap bootstrap =
         new ServerBootstrap()
-            .group(loops)
+            .group(eventLoops)
             .channel(NioServerSocketChannel.class)
             .option(ChannelOption.SO_REUSEADDR, true)
             .childOption(ChannelOption.TCP_NODELAY, true)
             .childHandler(
-                new PeerPipeline(
+                new PeerChannelInitializer(
                     counters,
                     () ->
                         new InboundHandler(
                             handshake,
                             peerListener,
-                            this::isUp,
-                            settings.staleMillis(),
+                            this::peerConnected,
+                            settings.maxGapMillis(),
                             clock,
                             counters,
                             log)));
-    var bound = bootstrap.bind(settings.address().socket()).awaitUninterruptibly();
+    var bound = bootstrap.bind(settings.address().toSocketAddress()).awaitUninterruptibly();
     if (!bound.isSuccess()) {
       throw new ServerException(
           "peer-address " + settings.address() + " can't be used: " + bound.cause().getMessage(),
           bound.cause());
     }
-    server = bound.channel();
+    serverChannel = bound.channel();
   }
 
   /**
@@ -91,10 +92,10 @@
    * <p>A restarted host is silent until the others have connected to it; they try again after a
    * pause, which this cuts short.
    */
-  private void isUp(String host) {
+  private void peerConnected(String host) {
     OutboundConnection connection = outbound.get(host);
     if (connection != null) {
-      connection.hurry();
+      connection.reconnectNow();
     }
   }
 
@@ -105,7 +106,7 @@
       throw new IllegalStateException("the transport isn't started");
     }
     OutboundConnection connection =
-        new OutboundConnection(settings, peer, handshake, told, counters, log, clock, loops);
+        new OutboundConnection(settings, peer, handshake, told, counters, log, clock, eventLoops);
     OutboundConnection before = outbound.put(peer.id(), connection);
     if (before != null) {
       before.close();
@@ -119,9 +120,9 @@
    *
    * @return whether it was closed
    */
-  public boolean renew(String host, long olderThanMillis) {
+  public boolean reconnectIfOlderThan(String host, long olderThanMillis) {
     OutboundConnection connection = outbound.get(host);
-    return connection != null && connection.renew(olderThanMillis);
+    return connection != null && connection.closeIfOlderThan(olderThanMillis);
   }
 
   /** Gives up sending to a host. */
@@ -140,17 +141,19 @@
     }
   }
 
-  private long mostUnsent() {
+  private long maxUnsentBytes() {
     return outbound.values().stream().mapToLong(OutboundConnection::unsentBytes).max().orElse(0);
   }
 
   @Override
   public void close() {
     outbound.values().forEach(OutboundConnection::close);
-    Channel bound = server;
+    Channel bound = serverChannel;
     if (bound != null) {
       bound.close().awaitUninterruptibly();
     }
-    loops.shutdownGracefully(0, 1, java.util.concurrent.TimeUnit.SECONDS).awaitUninterruptibly();
+    eventLoops
+        .shutdownGracefully(0, 1, java.util.concurrent.TimeUnit.SECONDS)
+        .awaitUninterruptibly();
   }
 }
--- a/burdockbay-server/src/main/java/org/burdockbay/server/transport/TransportCounters.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/transport/TransportCounters.java
@@ -13,7 +13,7 @@
 public final class TransportCounters {
 
   /** Why a connection to another host was opened. */
-  enum Reason {
+  enum ConnectReason {
     /** The host wasn't connected before. */
     FIRST,
     /** The connection before could not be opened. */
@@ -27,62 +27,63 @@
   }
 
   private final MetricRegistry registry;
-  private final Map<Wire.Envelope.BodyCase, Traffic> received;
-  private final Map<Wire.Envelope.BodyCase, Traffic> sent;
-  private final Map<Wire.Envelope.BodyCase, Counter> dropped =
+  private final Map<Wire.Envelope.BodyCase, Traffic> receivedByKind;
+  private final Map<Wire.Envelope.BodyCase, Traffic> sentByKind;
+  private final Map<Wire.Envelope.BodyCase, Counter> droppedByKind =
       new EnumMap<>(Wire.Envelope.BodyCase.class);
-  private final Map<Reason, Counter> connected = new EnumMap<>(Reason.class);
+  private final Map<ConnectReason, Counter> connectionsByReason =
+      new EnumMap<>(ConnectReason.class);
   private final Counter refused;
 
   /** Creates counters in the given registry. */
   public TransportCounters(MetricRegistry registry) {
     this.registry = registry;
     this.refused = registry.counter("peer.refused");
-    this.received = traffic("peer.received");
-    this.sent = traffic("peer.sent");
+    this.receivedByKind = trafficByKind("peer.received");
+    this.sentByKind = trafficByKind("peer.sent");
     for (Wire.Envelope.BodyCase kind : Wire.Envelope.BodyCase.values()) {
-      dropped.put(kind, registry.counter("peer.dropped." + word(kind)));
+      droppedByKind.put(kind, registry.counter("peer.dropped." + metricName(kind)));
     }
-    for (Reason reason : Reason.values()) {
-      connected.put(reason, registry.counter("peer.connections." + word(reason)));
+    for (ConnectReason reason : ConnectReason.values()) {
+      connectionsByReason.put(reason, registry.counter("peer.connections." + metricName(reason)));
     }
   }
 
   /** Shows the most bytes that wait for one host, as they are when the metrics are read. */
-  void showUnsent(LongSupplier most) {
+  void registerUnsentGauge(LongSupplier most) {
     registry.gauge("peer.unsent.bytes.most", () -> (Gauge<Long>) most::getAsLong);
   }
 
-  void received(Wire.Envelope envelope, int bytes) {
-    received.get(envelope.getBodyCase()).count(bytes);
+  void countReceived(Wire.Envelope envelope, int bytes) {
+    receivedByKind.get(envelope.getBodyCase()).count(bytes);
   }
 
-  void sent(Wire.Envelope envelope) {
-    sent.get(envelope.getBodyCase()).count(envelope.getSerializedSize());
+  void countSent(Wire.Envelope envelope) {
+    sentByKind.get(envelope.getBodyCase()).count(envelope.getSerializedSize());
   }
 
-  void dropped(Wire.Envelope envelope) {
-    dropped.get(envelope.getBodyCase()).inc();
+  void countDropped(Wire.Envelope envelope) {
+    droppedByKind.get(envelope.getBodyCase()).inc();
   }
 
-  void connected(Reason reason) {
-    connected.get(reason).inc();
+  void countConnection(ConnectReason reason) {
+    connectionsByReason.get(reason).inc();
   }
 
-  void refused() {
+  void countRefused() {
     refused.inc();
   }
 
-  private Map<Wire.Envelope.BodyCase, Traffic> traffic(String prefix) {
+  private Map<Wire.Envelope.BodyCase, Traffic> trafficByKind(String prefix) {
     Map<Wire.Envelope.BodyCase, Traffic> byKind = new EnumMap<>(Wire.Envelope.BodyCase.class);
     for (Wire.Envelope.BodyCase kind : Wire.Envelope.BodyCase.values()) {
-      String name = prefix + "." + word(kind);
+      String name = prefix + "." + metricName(kind);
       byKind.put(kind, new Traffic(registry.counter(name), registry.counter(name + ".bytes")));
     }
     return byKind;
   }
 
-  private static String word(Enum<?> value) {
+  private static String metricName(Enum<?> value) {
     return value.name().toLowerCase(Locale.ROOT).replace('_', '-');
   }
 
--- a/burdockbay-server/src/main/java/org/burdockbay/server/web/ByteCounter.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/web/ByteCounter.java
@@ -8,21 +8,21 @@
 /** Counts the bytes of a connection; it stands first in the pipeline. */
 final class ByteCounter extends ChannelDuplexHandler {
 
-  private long out;
-  private long in;
+  private long bytesOut;
+  private long bytesIn;
 
   /** Tells a meter the bytes since the last time. */
-  void report(CallMeter meter) {
-    meter.carried(out, in);
-    out = 0;
-    in = 0;
+  void reportTo(CallMeter meter) {
+    meter.addBytes(bytesOut, bytesIn);
+    bytesOut = 0;
+    bytesIn = 0;
   }
 
   @Override
   public void write(ChannelHandlerContext context, Object message, ChannelPromise promise)
       throws Exception {
     if (message instanceof ByteBuf bytes) {
-      out += bytes.readableBytes();
+      bytesOut += bytes.readableBytes();
     }
     super.write(context, message, promise);
   }
@@ -30,7 +30,7 @@
   @Override
   public void channelRead(ChannelHandlerContext context, Object message) throws Exception {
     if (message instanceof ByteBuf bytes) {
-      in += bytes.readableBytes();
+      bytesIn += bytes.readableBytes();
     }
     super.channelRead(context, message);
   }
--- a/burdockbay-server/src/main/java/org/burdockbay/server/web/CallMeter.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/web/CallMeter.java
@@ -20,15 +20,15 @@
     this.unanswered = registry.counter(name + ".unanswered");
   }
 
-  void begun() {
+  void callStarted() {
     calls.inc();
   }
 
-  void unanswered() {
+  void callUnanswered() {
     unanswered.inc();
   }
 
-  void carried(long out, long in) {
+  void addBytes(long out, long in) {
     bytesOut.inc(out);
     bytesIn.inc(in);
   }
--- a/burdockbay-server/src/main/java/org/burdockbay/server/web/WebClient.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/web/WebClient.java
@@ -40,13 +40,14 @@
  */
 public final class WebClient {
 
-  private static final int LARGEST_ANSWER = 8 * 1024 * 1024;
+  private static final int MAX_RESPONSE_BYTES = 8 * 1024 * 1024;
   private static final int CONNECT_TIMEOUT_MILLIS = 300;
 
   private final EventLoop loop;
   private final Bootstrap bootstrap;
   private final Map<HostAddress, Endpoint> endpoints = new HashMap<>();
-  private final Map<Reason, Counter> connected = new EnumMap<>(Reason.class);
+  private final Map<ConnectReason, Counter> connectionsByReason =
+      new EnumMap<>(ConnectReason.class);
 
   /**
    * Creates a client on one of the given loops.
@@ -54,9 +55,9 @@
    * @param registry where new connections are counted
    */
   public WebClient(EventLoopGroup loops, MetricRegistry registry) {
-    for (Reason reason : Reason.values()) {
+    for (ConnectReason reason : ConnectReason.values()) {
       String word = reason.name().toLowerCase(Locale.ROOT);
-      connected.put(reason, registry.counter("upstream.connections." + word));
+      connectionsByReason.put(reason, registry.counter("upstream.connections." + word));
     }
     this.loop = loops.next();
     this.bootstrap =
@@ -73,7 +74,7 @@
                         .pipeline()
                         .addLast(new ByteCounter())
                         .addLast(new HttpResponseDecoder())
-                        .addLast(new HttpObjectAggregator(LARGEST_ANSWER))
+                        .addLast(new HttpObjectAggregator(MAX_RESPONSE_BYTES))
                         .addLast(new Connection());
                   }
                 });
@@ -85,33 +86,34 @@
    * @param meter counts the call
    * @param answer gets the answer, or nothing if none came in time; called once, on the loop
    */
-  public void call(WebCall call, CallMeter meter, Consumer<Optional<WebAnswer>> answer) {
-    Pending pending = new Pending(call, meter, answer);
+  public void call(
+      WebClientRequest call, CallMeter meter, Consumer<Optional<WebClientResponse>> answer) {
+    PendingCall pending = new PendingCall(call, meter, answer);
     if (loop.inEventLoop()) {
-      begin(pending);
+      startCall(pending);
     } else {
-      loop.execute(() -> begin(pending));
+      loop.execute(() -> startCall(pending));
     }
   }
 
   /** Closes the connections to an address on which no call is under way. */
-  public void forget(HostAddress address) {
+  public void closeIdleConnections(HostAddress address) {
     loop.execute(
         () -> {
           Endpoint endpoint = endpoints.remove(address);
           if (endpoint != null) {
-            endpoint.idle.forEach(connection -> connection.channel().close());
+            endpoint.idleConnections.forEach(connection -> connection.channel().close());
           }
         });
   }
 
-  private void begin(Pending pending) {
-    pending.meter.begun();
+  private void startCall(PendingCall pending) {
+    pending.meter.callStarted();
     pending.timer =
         loop.schedule(pending::timedOut, pending.call.timeoutMillis(), TimeUnit.MILLISECONDS);
     Endpoint endpoint =
         endpoints.computeIfAbsent(pending.call.head().address(), address -> new Endpoint());
-    Connection connection = endpoint.idle.pollLast();
+    Connection connection = endpoint.idleConnections.pollLast();
     if (connection != null) {
       connection.send(pending);
     } else {
@@ -119,17 +121,17 @@
     }
   }
 
-  private void connect(Pending pending, Endpoint endpoint) {
-    connected.get(endpoint.reason).inc();
-    endpoint.reason = Reason.BUSY;
+  private void connect(PendingCall pending, Endpoint endpoint) {
+    connectionsByReason.get(endpoint.nextConnectReason).inc();
+    endpoint.nextConnectReason = ConnectReason.BUSY;
     bootstrap
-        .connect(pending.call.head().address().socket())
+        .connect(pending.call.head().address().toSocketAddress())
         .addListener(
             (ChannelFuture attempt) -> {
               if (!attempt.isSuccess()) {
-                endpoint.reason = Reason.FAILED;
-                pending.finish(Optional.empty());
-              } else if (pending.finished) {
+                endpoint.nextConnectReason = ConnectReason.FAILED;
+                pending.complete(Optional.empty());
+              } else if (pending.completed) {
                 attempt.channel().close();
               } else {
                 attempt.channel().pipeline().get(Connection.class).open(endpoint, pending);
@@ -138,7 +140,7 @@
   }
 
   /** Why a connection was opened. */
-  private enum Reason {
+  private enum ConnectReason {
     /** There was none before. */
     FIRST,
     /** All others carry calls. */
@@ -154,48 +156,49 @@
   /** The connections to an address on which no call is under way. */
   private static final class Endpoint {
 
-    private final Deque<Connection> idle = new ArrayDeque<>();
+    private final Deque<Connection> idleConnections = new ArrayDeque<>();
 
     /** Why the next connection will be opened. */
-    private Reason reason = Reason.FIRST;
+    private ConnectReason nextConnectReason = ConnectReason.FIRST;
   }
 
   /** A call with what is to be told its answer. */
-  private static final class Pending {
+  private static final class PendingCall {
 
-    private final WebCall call;
+    private final WebClientRequest call;
     private final CallMeter meter;
-    private final Consumer<Optional<WebAnswer>> answer;
+    private final Consumer<Optional<WebClientResponse>> callback;
     private @Nullable ScheduledFuture<?> timer;
     private @Nullable Connection connection;
-    private boolean finished;
+    private boolean completed;
 
-    Pending(WebCall call, CallMeter meter, Consumer<Optional<WebAnswer>> answer) {
+    PendingCall(
+        WebClientRequest call, CallMeter meter, Consumer<Optional<WebClientResponse>> answer) {
       this.call = call;
       this.meter = meter;
-      this.answer = answer;
+      this.callback = answer;
     }
 
     void timedOut() {
       Connection used = connection;
       if (used != null) {
-        used.giveUp();
+        used.closeUnanswered();
       }
-      finish(Optional.empty());
+      complete(Optional.empty());
     }
 
-    void finish(Optional<WebAnswer> result) {
-      if (finished) {
+    void complete(Optional<WebClientResponse> result) {
+      if (completed) {
         return;
       }
-      finished = true;
+      completed = true;
       if (timer != null) {
         timer.cancel(false);
       }
       if (result.isEmpty()) {
-        meter.unanswered();
+        meter.callUnanswered();
       }
-      answer.accept(result);
+      callback.accept(result);
     }
   }
 
@@ -203,9 +206,9 @@
   private static final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
 
     private @Nullable ChannelHandlerContext context;
-    private @Nullable Pending pending;
+    private @Nullable PendingCall pendingCall;
     private @Nullable Endpoint endpoint;
-    private Reason end = Reason.LOST;
+    private ConnectReason closeReason = ConnectReason.LOST;
 
     @Override
     public void handlerAdded(ChannelHandlerContext added) {
@@ -219,59 +222,59 @@
       return context.channel();
     }
 
-    void open(Endpoint to, Pending first) {
+    void open(Endpoint to, PendingCall first) {
       endpoint = to;
       send(first);
     }
 
-    void giveUp() {
-      end = Reason.UNANSWERED;
+    void closeUnanswered() {
+      closeReason = ConnectReason.UNANSWERED;
       channel().close();
     }
 
-    void send(Pending next) {
-      pending = next;
+    void send(PendingCall next) {
+      pendingCall = next;
       next.connection = this;
-      channel().writeAndFlush(next.call.head().request(next.call.body()));
+      channel().writeAndFlush(next.call.head().encodeRequest(next.call.body()));
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext read, FullHttpResponse response) {
-      Pending answered = pending;
-      pending = null;
+      PendingCall answered = pendingCall;
+      pendingCall = null;
       boolean keep = HttpUtil.isKeepAlive(response) && answered != null;
       if (keep && endpoint != null) {
-        endpoint.idle.addLast(this);
+        endpoint.idleConnections.addLast(this);
       } else {
         read.close();
       }
       if (answered != null) {
-        report(read, answered.meter);
-        answered.finish(Optional.of(answer(response)));
+        reportBytes(read, answered.meter);
+        answered.complete(Optional.of(toClientResponse(response)));
       }
     }
 
-    private void report(ChannelHandlerContext at, CallMeter meter) {
-      at.pipeline().get(ByteCounter.class).report(meter);
+    private void reportBytes(ChannelHandlerContext at, CallMeter meter) {
+      at.pipeline().get(ByteCounter.class).reportTo(meter);
     }
 
-    private WebAnswer answer(FullHttpResponse response) {
+    private WebClientResponse toClientResponse(FullHttpResponse response) {
       byte[] body = new byte[response.content().readableBytes()];
       response.content().getBytes(response.content().readerIndex(), body);
-      return new WebAnswer(response.status().code(), Bytes.copyOf(body));
+      return new WebClientResponse(response.status().code(), Bytes.copyOf(body));
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext closed) {
       if (endpoint != null) {
-        endpoint.idle.remove(this);
-        endpoint.reason = end;
+        endpoint.idleConnections.remove(this);
+        endpoint.nextConnectReason = closeReason;
       }
-      Pending unanswered = pending;
-      pending = null;
+      PendingCall unanswered = pendingCall;
+      pendingCall = null;
       if (unanswered != null) {
-        report(closed, unanswered.meter);
-        unanswered.finish(Optional.empty());
+        reportBytes(closed, unanswered.meter);
+        unanswered.complete(Optional.empty());
       }
     }
 
--- a/burdockbay-server/src/main/java/org/burdockbay/server/web/WebCall.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/web/WebClientRequest.java
@@ -9,4 +9,4 @@
  * @param body a JSON body
  * @param timeoutMillis longest time until the whole answer is there, in milliseconds
  */
-public record WebCall(WebHead head, Bytes body, long timeoutMillis) {}
+public record WebClientRequest(WebRequestHead head, Bytes body, long timeoutMillis) {}
--- a/burdockbay-server/src/main/java/org/burdockbay/server/web/WebAnswer.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/web/WebClientResponse.java
@@ -3,9 +3,9 @@
 import org.burdockbay.core.agreement.Bytes;
 
 /**
- * The whole answer to a {@link WebCall}.
+ * The whole answer to a {@link WebClientRequest}.
  *
  * @param status the status code
  * @param body the body
  */
-public record WebAnswer(int status, Bytes body) {}
+public record WebClientResponse(int status, Bytes body) {}
--- a/burdockbay-server/src/main/java/org/burdockbay/server/web/WebConnection.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/web/WebConnection.java
@@ -30,7 +30,7 @@
   private final BooleanSupplier draining;
   private final AtomicInteger openRequests;
   private final EventLog log;
-  private final Deque<Exchange> waiting = new ArrayDeque<>();
+  private final Deque<Exchange> waitingExchanges = new ArrayDeque<>();
   private @Nullable Exchange current;
 
   /**
@@ -70,22 +70,22 @@
               + " reason="
               + EventLog.quote(String.valueOf(request.decoderResult().cause())));
       exchange.keepAlive = false;
-      exchange.write(WebReply.empty(BAD_REQUEST));
+      exchange.write(WebResponse.empty(BAD_REQUEST));
     } else if (current == null) {
-      begin(exchange);
+      startHandling(exchange);
     } else {
-      waiting.add(exchange);
+      waitingExchanges.add(exchange);
     }
   }
 
   @Override
   public void channelInactive(ChannelHandlerContext context) {
-    openRequests.addAndGet(-waiting.size());
-    waiting.clear();
+    openRequests.addAndGet(-waitingExchanges.size());
+    waitingExchanges.clear();
     Exchange abandoned = current;
     current = null;
     if (abandoned != null) {
-      abandoned.abandoned();
+      abandoned.abandon();
     }
   }
 
@@ -95,16 +95,16 @@
     context.close();
   }
 
-  private void begin(Exchange exchange) {
+  private void startHandling(Exchange exchange) {
     current = exchange;
     handler.handle(exchange);
   }
 
-  private void next() {
+  private void handleNext() {
     current = null;
-    Exchange following = waiting.poll();
+    Exchange following = waitingExchanges.poll();
     if (following != null) {
-      begin(following);
+      startHandling(following);
     }
   }
 
@@ -114,7 +114,7 @@
     private final WebRequest request;
     private boolean keepAlive;
     private boolean answered;
-    private Runnable abandonment = () -> {};
+    private Runnable abandonAction = () -> {};
 
     Exchange(ChannelHandlerContext context, WebRequest request, boolean keepAlive) {
       this.context = context;
@@ -128,7 +128,7 @@
     }
 
     @Override
-    public void reply(WebReply reply) {
+    public void respond(WebResponse reply) {
       if (context.executor().inEventLoop()) {
         write(reply);
       } else {
@@ -138,18 +138,18 @@
 
     @Override
     public void onAbandoned(Runnable action) {
-      abandonment = action;
+      abandonAction = action;
     }
 
-    private void abandoned() {
+    private void abandon() {
       if (!answered) {
         answered = true;
         openRequests.decrementAndGet();
-        abandonment.run();
+        abandonAction.run();
       }
     }
 
-    private void write(WebReply reply) {
+    private void write(WebResponse reply) {
       if (answered) {
         return;
       }
@@ -161,11 +161,11 @@
         written.addListener(ChannelFutureListener.CLOSE);
       }
       if (this.equals(current)) {
-        next();
+        handleNext();
       }
     }
 
-    private FullHttpResponse response(WebReply reply, boolean keep) {
+    private FullHttpResponse response(WebResponse reply, boolean keep) {
       byte[] body = reply.body().getBytes(StandardCharsets.UTF_8);
       FullHttpResponse response =
           new DefaultFullHttpResponse(
--- a/burdockbay-server/src/main/java/org/burdockbay/server/web/WebExchange.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/web/WebExchange.java
@@ -7,7 +7,7 @@
   WebRequest request();
 
   /** Answers; only the first call has an effect. Safe on any thread. */
-  void reply(WebReply reply);
+  void respond(WebResponse reply);
 
   /**
    * Registers what is to be done if the caller closes the connection before it is answered; called
--- a/burdockbay-server/src/main/java/org/burdockbay/server/web/WebListener.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/web/WebListener.java
@@ -22,14 +22,14 @@
 /** Listens on one address and hands whole requests to a handler. */
 public final class WebListener implements AutoCloseable {
 
-  private static final int BACKLOG = 1_024;
+  private static final int ACCEPT_BACKLOG = 1_024;
 
   private final HostAddress address;
   private final ServerBootstrap bootstrap;
   private final ChannelGroup connections =
       new DefaultChannelGroup(GlobalEventExecutor.INSTANCE, true);
   private final AtomicInteger openRequests = new AtomicInteger();
-  private @Nullable Channel server;
+  private @Nullable Channel serverChannel;
   private volatile boolean draining;
 
   /** Creates a listener; {@link #start} opens it. */
@@ -45,7 +45,7 @@
             .group(loops)
             .channel(NioServerSocketChannel.class)
             .option(ChannelOption.SO_REUSEADDR, true)
-            .option(ChannelOption.SO_BACKLOG, BACKLOG)
+            .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
             .childOption(ChannelOption.TCP_NODELAY, true)
             .childHandler(
                 new ChannelInitializer<SocketChannel>() {
@@ -71,12 +71,12 @@
    * @throws ServerException if the address can't be used
    */
   public void start() throws ServerException {
-    var bound = bootstrap.bind(address.socket()).awaitUninterruptibly();
+    var bound = bootstrap.bind(address.toSocketAddress()).awaitUninterruptibly();
     if (!bound.isSuccess()) {
       throw new ServerException(
           "address " + address + " can't be used: " + bound.cause().getMessage(), bound.cause());
     }
-    server = bound.channel();
+    serverChannel = bound.channel();
   }
 
   /**
@@ -93,12 +93,12 @@
   }
 
   /** Returns the number of open connections. */
-  public int connections() {
+  public int connectionCount() {
     return connections.size();
   }
 
   /** Returns the number of requests whose answers aren't written yet. */
-  public int openRequests() {
+  public int openRequestCount() {
     return openRequests.get();
   }
 
@@ -109,7 +109,7 @@
   }
 
   private void stopListening() {
-    Channel bound = server;
+    Channel bound = serverChannel;
     if (bound != null) {
       bound.close().awaitUninterruptibly();
     }
--- a/burdockbay-server/src/main/java/org/burdockbay/server/web/WebRequest.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/web/WebRequest.java
@@ -39,7 +39,7 @@
    *
    * @throws CharacterCodingException if it isn't valid UTF-8
    */
-  public String text() throws CharacterCodingException {
+  public String bodyText() throws CharacterCodingException {
     return StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(body.toArray())).toString();
   }
 
--- a/burdockbay-server/src/main/java/org/burdockbay/server/web/WebHead.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/web/WebRequestHead.java
@@ -12,12 +12,12 @@
  *
  * <p>Immutable.
  */
-public final class WebHead {
+public final class WebRequestHead {
 
-  private static final byte[] END = "\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
+  private static final byte[] HEAD_END = "\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
 
   private final HostAddress address;
-  private final byte[] encoded;
+  private final byte[] encodedHead;
 
   /**
    * Encodes a head.
@@ -27,13 +27,14 @@
    * @param path path and query
    * @param headers headers beside those of the body; signs that end a line become question marks
    */
-  public WebHead(HostAddress address, String method, String path, Map<String, String> headers) {
+  public WebRequestHead(
+      HostAddress address, String method, String path, Map<String, String> headers) {
     this.address = address;
     StringBuilder text = new StringBuilder(method + " " + path + " HTTP/1.1\r\n");
-    line(text, "Host", address.toString());
-    line(text, "Content-Type", "application/json");
-    headers.forEach((name, value) -> line(text, name, value));
-    this.encoded = text.append("Content-Length: ").toString().getBytes(StandardCharsets.UTF_8);
+    appendHeader(text, "Host", address.toString());
+    appendHeader(text, "Content-Type", "application/json");
+    headers.forEach((name, value) -> appendHeader(text, name, value));
+    this.encodedHead = text.append("Content-Length: ").toString().getBytes(StandardCharsets.UTF_8);
   }
 
   HostAddress address() {
@@ -41,17 +42,17 @@
   }
 
   /** Returns a request with this head. */
-  ByteBuf request(Bytes body) {
+  ByteBuf encodeRequest(Bytes body) {
     byte[] content = body.toArray();
     byte[] length = Integer.toString(content.length).getBytes(StandardCharsets.US_ASCII);
-    return Unpooled.buffer(encoded.length + length.length + END.length + content.length)
-        .writeBytes(encoded)
+    return Unpooled.buffer(encodedHead.length + length.length + HEAD_END.length + content.length)
+        .writeBytes(encodedHead)
         .writeBytes(length)
-        .writeBytes(END)
+        .writeBytes(HEAD_END)
         .writeBytes(content);
   }
 
-  private static void line(StringBuilder text, String name, String value) {
+  private static void appendHeader(StringBuilder text, String name, String value) {
     text.append(name).append(": ").append(value.replaceAll("\\p{Cntrl}", "?")).append("\r\n");
   }
 }
--- a/burdockbay-server/src/main/java/org/burdockbay/server/web/WebReply.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/web/WebResponse.java
@@ -11,32 +11,33 @@
  * @param body the body
  * @param headers further headers
  */
-public record WebReply(int status, String contentType, String body, Map<String, String> headers) {
+public record WebResponse(
+    int status, String contentType, String body, Map<String, String> headers) {
 
   /** Copies the headers. */
-  public WebReply {
+  public WebResponse {
     headers = Map.copyOf(headers);
   }
 
   /** Returns an answer without a body. */
-  public static WebReply empty(int status) {
-    return new WebReply(status, "", "", Map.of());
+  public static WebResponse empty(int status) {
+    return new WebResponse(status, "", "", Map.of());
   }
 
   /** Returns an answer with a JSON body. */
-  public static WebReply json(int status, String body) {
-    return new WebReply(status, "application/json", body, Map.of());
+  public static WebResponse json(int status, String body) {
+    return new WebResponse(status, "application/json", body, Map.of());
   }
 
   /** Returns an answer with a plain text body. */
-  public static WebReply text(int status, String body) {
-    return new WebReply(status, "text/plain", body, Map.of());
+  public static WebResponse text(int status, String body) {
+    return new WebResponse(status, "text/plain", body, Map.of());
   }
 
   /** Returns this answer with one more header. */
-  public WebReply with(String name, String value) {
+  public WebResponse withHeader(String name, String value) {
     Map<String, String> more = new HashMap<>(headers);
     more.put(name, value);
-    return new WebReply(status, contentType, body, more);
+    return new WebResponse(status, contentType, body, more);
   }
 }
--- a/burdockbay-server/src/main/java/org/burdockbay/server/wiring/HostModule.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/wiring/HostModule.java
@@ -78,7 +78,8 @@
         clock,
         log,
         metrics,
-        new PeerTransport(TransportSettings.of(settings), incarnation, counters, log, clock),
+        new PeerTransport(
+            TransportSettings.forStaticPeers(settings), incarnation, counters, log, clock),
         new RunnerClient(json),
         new ControlThread(clock, log, metrics.registry()));
   }
--- a/burdockbay-server/src/test/java/org/burdockbay/server/host/ConfigurationKeeperTest.java
+++ b/burdockbay-server/src/test/java/org/burdockbay/server/host/ConfigurationKeeperTest.java
@@ -27,7 +27,7 @@
 
   /** A version that this release can't read leaves the one before in force. */
   @Test
-  public void keepsTheOldVersionWhereTheNewOneIsUnreadable() {
+  public void keepsTheOldVersionWhenTheNewOneIsUnreadable() {
     ConfigurationKeeper keeper = new ConfigurationKeeper(new EventLog("test"));
     keeper.offer(1, "[service desk]\n", changed -> {});
     keeper.offer(2, "[later-kind of section]\n", changed -> {});
--- a/burdockbay-server/src/test/java/org/burdockbay/server/host/ControlThreadTest.java
+++ b/burdockbay-server/src/test/java/org/burdockbay/server/host/ControlThreadTest.java
@@ -17,7 +17,7 @@
 
   /** A host that was late called others lost whose heartbeats it hadn't handled yet. */
   @Test
-  public void handlesControlTasksThatWaitBeforeTicksAndWorkAfterThem() throws Exception {
+  public void runsQueuedControlTasksBeforeTicksAndWorkAfterThem() throws Exception {
     final List<String> order = new CopyOnWriteArrayList<>();
     final AtomicLong now = new AtomicLong();
     final CountDownLatch ticked = new CountDownLatch(1);
--- a/burdockbay-server/src/test/java/org/burdockbay/server/http/HttpServerTest.java
+++ b/burdockbay-server/src/test/java/org/burdockbay/server/http/HttpServerTest.java
@@ -37,12 +37,12 @@
 public class HttpServerTest {
 
   /** More than the kernel's buffers of a connection take. */
-  private static final byte[] LARGE_ANSWER = new byte[32 * 1024 * 1024];
+  private static final byte[] LARGE_RESPONSE = new byte[32 * 1024 * 1024];
 
-  private static final int RECEIVE_BYTES = 4_096;
-  private static final long POLL_MILLIS = 10;
+  private static final int RECEIVE_BUFFER_BYTES = 4_096;
+  private static final long POLL_INTERVAL_MILLIS = 10;
 
-  private final CompletableFuture<Void> silentRequest = new CompletableFuture<>();
+  private final CompletableFuture<Void> silentRequestArrived = new CompletableFuture<>();
 
   /** With a certificate in the settings, callers reach the host over TLS and by no other way. */
   @Test
@@ -57,7 +57,7 @@
 
   /** A refusal is a problem document with its kind; an unknown path is not found. */
   @Test
-  public void answersErrorsByTheTable() throws Exception {
+  public void answersErrorsWithProblemDetails() throws Exception {
     HostSettings settings = settings(freePort(), "", "");
     try (HttpServer server = server(settings)) {
       server.start();
@@ -71,36 +71,37 @@
 
   /** A planned stop cut off answers that were still being written. */
   @Test
-  public void writesWholeAnswersBeforeItStops() throws Exception {
+  public void writesWholeResponsesBeforeStopping() throws Exception {
     HostSettings settings = settings(freePort(), "", "");
     try (HttpServer server = server(settings);
         Socket caller = new Socket()) {
       server.start();
-      caller.setReceiveBufferSize(RECEIVE_BYTES);
-      caller.connect(settings.httpAddress().socket());
+      caller.setReceiveBufferSize(RECEIVE_BUFFER_BYTES);
+      caller.connect(settings.httpAddress().toSocketAddress());
       send(caller, "GET /large HTTP/1.1");
-      caller.getInputStream().readNBytes(RECEIVE_BYTES);
+      caller.getInputStream().readNBytes(RECEIVE_BUFFER_BYTES);
       CompletableFuture<Void> stopped = CompletableFuture.runAsync(() -> server.stop(60_000));
       awaitClosedPort(settings);
       long rest = caller.getInputStream().transferTo(OutputStream.nullOutputStream());
-      assertTrue(rest + RECEIVE_BYTES > LARGE_ANSWER.length, "only " + rest + " bytes came");
+      assertTrue(
+          rest + RECEIVE_BUFFER_BYTES > LARGE_RESPONSE.length, "only " + rest + " bytes came");
       stopped.join();
     }
   }
 
   /** A request that arrives during a planned stop must be refused, not cut off. */
   @Test
-  public void refusesRequestsOnOpenConnectionsWhileItStops() throws Exception {
+  public void refusesRequestsOnOpenConnectionsWhileStopping() throws Exception {
     HostSettings settings = settings(freePort(), "", "");
     try (HttpServer server = server(settings);
         Socket slow = new Socket();
         Socket late = new Socket()) {
       server.start();
-      slow.setReceiveBufferSize(RECEIVE_BYTES);
-      slow.connect(settings.httpAddress().socket());
-      late.connect(settings.httpAddress().socket());
+      slow.setReceiveBufferSize(RECEIVE_BUFFER_BYTES);
+      slow.connect(settings.httpAddress().toSocketAddress());
+      late.connect(settings.httpAddress().toSocketAddress());
       send(slow, "GET /large HTTP/1.1");
-      slow.getInputStream().readNBytes(RECEIVE_BYTES);
+      slow.getInputStream().readNBytes(RECEIVE_BUFFER_BYTES);
       send(late, "GET /hello HTTP/1.1");
       BufferedReader answers =
           new BufferedReader(new InputStreamReader(late.getInputStream(), UTF_8));
@@ -119,23 +120,24 @@
 
   /** A planned stop must end although a request is never answered. */
   @Test
-  public void stopsWithoutAnswersThatNeverCome() throws Exception {
+  public void stopsDespiteUnansweredRequests() throws Exception {
     HostSettings settings = settings(freePort(), "", "");
     try (HttpServer server = server(settings);
         Socket caller = new Socket()) {
       server.start();
-      caller.connect(settings.httpAddress().socket());
+      caller.connect(settings.httpAddress().toSocketAddress());
       send(caller, "GET /silent HTTP/1.1");
-      silentRequest.join();
+      silentRequestArrived.join();
       server.stop(10);
       caller.getInputStream().readAllBytes();
-      expectThrows(IOException.class, () -> new Socket().connect(settings.httpAddress().socket()));
+      expectThrows(
+          IOException.class, () -> new Socket().connect(settings.httpAddress().toSocketAddress()));
     }
   }
 
   /** A port that another process uses is named in one line. */
   @Test
-  public void namesAddressesInUse() throws Exception {
+  public void reportsAddressesInUse() throws Exception {
     try (ServerSocket other = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       HostSettings settings = settings(other.getLocalPort(), "", "");
       try (HttpServer server = server(settings)) {
@@ -147,7 +149,7 @@
 
   /** A key file that is no key is named before anything starts. */
   @Test
-  public void namesUnusableKeys() throws Exception {
+  public void reportsUnusableKeyFiles() throws Exception {
     HostSettings settings =
         settings(freePort(), resource("certificate.pem"), resource("certificate.pem"));
     ServerException e = expectThrows(ServerException.class, () -> server(settings));
@@ -166,9 +168,9 @@
                   "/silent",
                   context -> {
                     context.future(CompletableFuture::new);
-                    silentRequest.complete(null);
+                    silentRequestArrived.complete(null);
                   });
-              routes.get("/large", context -> context.result(LARGE_ANSWER));
+              routes.get("/large", context -> context.result(LARGE_RESPONSE));
               routes.get(
                   "/refused",
                   context -> {
@@ -186,11 +188,11 @@
   private static void awaitClosedPort(HostSettings settings) throws InterruptedException {
     while (true) {
       try (Socket socket = new Socket()) {
-        socket.connect(settings.httpAddress().socket());
+        socket.connect(settings.httpAddress().toSocketAddress());
       } catch (IOException e) {
         return;
       }
-      Thread.sleep(POLL_MILLIS);
+      Thread.sleep(POLL_INTERVAL_MILLIS);
     }
   }
 
--- a/burdockbay-server/src/test/java/org/burdockbay/server/node/CatalogKeeperTest.java
+++ b/burdockbay-server/src/test/java/org/burdockbay/server/node/CatalogKeeperTest.java
@@ -32,15 +32,15 @@
   /** Guards against never requesting a version again after its data arrived corrupt. */
   @Test
   public void downloadsAgainAfterCorruptData() {
-    assertTrue(keeper.heard(1, now.get()).isPresent());
+    assertTrue(keeper.handleAnnouncement(1, now.get()).isPresent());
     byte[] corrupt = CATALOG.data().toArray();
     corrupt[corrupt.length - 1] ^= 1;
-    keeper.received(part(Bytes.copyOf(corrupt)), "a", now.get());
+    keeper.handlePart(part(Bytes.copyOf(corrupt)), "a", now.get());
     assertEquals(keeper.current().version(), 0);
-    assertFalse(keeper.heard(1, now.get()).isPresent());
-    now.addAndGet(CatalogKeeper.RETRY_MILLIS);
-    assertTrue(keeper.heard(1, now.get()).isPresent());
-    keeper.received(part(CATALOG.data()), "b", now.get());
+    assertFalse(keeper.handleAnnouncement(1, now.get()).isPresent());
+    now.addAndGet(CatalogKeeper.RETRY_INTERVAL_MILLIS);
+    assertTrue(keeper.handleAnnouncement(1, now.get()).isPresent());
+    keeper.handlePart(part(CATALOG.data()), "b", now.get());
     assertEquals(keeper.current().version(), 1);
   }
 
--- a/burdockbay-server/src/test/java/org/burdockbay/server/node/HeartbeatScheduleTest.java
+++ b/burdockbay-server/src/test/java/org/burdockbay/server/node/HeartbeatScheduleTest.java
@@ -10,7 +10,7 @@
 public class HeartbeatScheduleTest {
 
   private static final long START = 1_000;
-  private static final long PERIOD = HeartbeatSchedule.PERIOD_MILLIS;
+  private static final long INTERVAL = HeartbeatSchedule.INTERVAL_MILLIS;
 
   private final HeartbeatSchedule schedule = new HeartbeatSchedule("b");
 
@@ -19,28 +19,28 @@
    */
   @Test
   public void sendsWithoutTheReferenceHost() {
-    schedule.sent(List.of("a", "c"), START);
-    assertTrue(schedule.due(START + PERIOD + HeartbeatSchedule.GRACE_MILLIS));
-    schedule.sent(List.of("c"), START);
-    assertFalse(schedule.due(START + PERIOD - 1));
-    assertTrue(schedule.due(START + PERIOD));
+    schedule.recordSent(List.of("a", "c"), START);
+    assertTrue(schedule.isDue(START + INTERVAL + HeartbeatSchedule.GRACE_MILLIS));
+    schedule.recordSent(List.of("c"), START);
+    assertFalse(schedule.isDue(START + INTERVAL - 1));
+    assertTrue(schedule.isDue(START + INTERVAL));
   }
 
   /** Guards against heartbeats spread over the period, which take a wake-up each. */
   @Test
   public void followsTheLowestLiveHostOnly() {
-    schedule.sent(List.of("a", "c"), START);
-    assertFalse(schedule.triggersHeartbeat("c", START + PERIOD));
-    assertTrue(schedule.triggersHeartbeat("a", START + PERIOD));
+    schedule.recordSent(List.of("a", "c"), START);
+    assertFalse(schedule.triggersHeartbeat("c", START + INTERVAL));
+    assertTrue(schedule.triggersHeartbeat("a", START + INTERVAL));
   }
 
   /** Guards against floods from hosts that trigger each other or bursts of late heartbeats. */
   @Test
   public void sendsAtMostTwicePerPeriod() {
-    schedule.sent(List.of("a", "c"), START);
-    assertFalse(schedule.triggersHeartbeat("a", START + PERIOD / 2 - 1));
-    schedule.sent(List.of("c"), START);
-    assertFalse(schedule.triggersHeartbeat("a", START + PERIOD));
-    assertFalse(schedule.triggersHeartbeat("c", START + PERIOD));
+    schedule.recordSent(List.of("a", "c"), START);
+    assertFalse(schedule.triggersHeartbeat("a", START + INTERVAL / 2 - 1));
+    schedule.recordSent(List.of("c"), START);
+    assertFalse(schedule.triggersHeartbeat("a", START + INTERVAL));
+    assertFalse(schedule.triggersHeartbeat("c", START + INTERVAL));
   }
 }
--- a/burdockbay-server/src/test/java/org/burdockbay/server/node/HostGossipTest.java
+++ b/burdockbay-server/src/test/java/org/burdockbay/server/node/HostGossipTest.java
@@ -14,11 +14,11 @@
 /** Which hosts others are told of. */
 public class HostGossipTest {
 
-  private static final HostDescriptor SELF = card("10.0.0.1");
-  private static final HostDescriptor OLD = card("10.0.0.2");
-  private static final HostDescriptor NEW = card("10.0.0.3");
+  private static final HostDescriptor SELF = descriptor("10.0.0.1");
+  private static final HostDescriptor OLD = descriptor("10.0.0.2");
+  private static final HostDescriptor NEW = descriptor("10.0.0.3");
 
-  private final Map<String, PeerMessage> told = new TreeMap<>();
+  private final Map<String, PeerMessage> sentMessages = new TreeMap<>();
   private HostDirectory directory;
   private HostGossip gossip;
 
@@ -27,28 +27,28 @@
   public void setUp() {
     directory = new HostDirectory(SELF);
     directory.add(OLD, 0);
-    gossip = new HostGossip(directory, told::put);
+    gossip = new HostGossip(directory, sentMessages::put);
     gossip.tick(0);
-    told.clear();
+    sentMessages.clear();
   }
 
   /** Whole lists to all hosts every two seconds filled links as fleets grew. */
   @Test
-  public void tellsHostsOnlyWhatIsNewOfOthers() {
+  public void relaysOnlyNewHosts() {
     directory.add(NEW, 5);
-    gossip.learnt(NEW, NEW.id());
-    assertEquals(told.get(OLD.id()), new PeerMessage.KnownHosts(List.of(NEW)));
-    told.clear();
-    gossip.tick(HostGossip.ALL_MILLIS - 1);
-    assertTrue(told.isEmpty());
+    gossip.hostDiscovered(NEW, NEW.id());
+    assertEquals(sentMessages.get(OLD.id()), new PeerMessage.KnownHosts(List.of(NEW)));
+    sentMessages.clear();
+    gossip.tick(HostGossip.FULL_LIST_INTERVAL_MILLIS - 1);
+    assertTrue(sentMessages.isEmpty());
   }
 
   /** Guards against a number of messages at startup that grows with the cube of the hosts. */
   @Test
-  public void passesOnOnlyCardsReceivedFromTheirOwnHost() {
+  public void relaysOnlyDescriptorsReceivedFromTheirOwnHost() {
     directory.add(NEW, 5);
-    gossip.learnt(NEW, OLD.id());
-    assertTrue(told.isEmpty());
+    gossip.hostDiscovered(NEW, OLD.id());
+    assertTrue(sentMessages.isEmpty());
   }
 
   /** Guards against delaying heartbeats on slow links by sending the whole list to all at once. */
@@ -56,22 +56,22 @@
   public void sendsWholeListToOneHostPerTick() {
     directory.add(NEW, 5);
     gossip.tick(5);
-    gossip.tick(2 * HostGossip.ALL_MILLIS);
-    assertEquals(told.size(), 1);
-    gossip.tick(2 * HostGossip.ALL_MILLIS + 1);
-    assertEquals(told.size(), 2);
+    gossip.tick(2 * HostGossip.FULL_LIST_INTERVAL_MILLIS);
+    assertEquals(sentMessages.size(), 1);
+    gossip.tick(2 * HostGossip.FULL_LIST_INTERVAL_MILLIS + 1);
+    assertEquals(sentMessages.size(), 2);
   }
 
   /** A host whose connection broke may have missed news. */
   @Test
-  public void tellsAllOnNewConnectionsAndNowAndThen() {
+  public void sendsWholeListOnNewConnectionsAndPeriodically() {
     gossip.connected(OLD.id(), true);
-    assertEquals(told.remove(OLD.id()), new PeerMessage.KnownHosts(List.of(SELF, OLD)));
-    gossip.tick(HostGossip.ALL_MILLIS);
-    assertEquals(told.get(OLD.id()), new PeerMessage.KnownHosts(List.of(SELF, OLD)));
+    assertEquals(sentMessages.remove(OLD.id()), new PeerMessage.KnownHosts(List.of(SELF, OLD)));
+    gossip.tick(HostGossip.FULL_LIST_INTERVAL_MILLIS);
+    assertEquals(sentMessages.get(OLD.id()), new PeerMessage.KnownHosts(List.of(SELF, OLD)));
   }
 
-  private static HostDescriptor card(String ip) {
+  private static HostDescriptor descriptor(String ip) {
     return new HostDescriptor(ip, "g", "north", ip + ":1");
   }
 }
--- a/burdockbay-server/src/test/java/org/burdockbay/server/node/OverloadedHostTest.java
+++ b/burdockbay-server/src/test/java/org/burdockbay/server/node/OverloadedHostTest.java
@@ -40,14 +40,14 @@
 
   private static final String HOST = "127.0.0.1";
   private static final String OTHER = "127.0.0.2";
-  private static final long IN_FORCE_MILLIS = 2_500;
-  private static final int BACKLOG = 4_000;
+  private static final long IN_FORCE_TIMEOUT_MILLIS = 2_500;
+  private static final int BACKLOG_SIZE = 4_000;
   private static final long FIRST_VERSION = 1;
-  private static final long VERSION = 8;
+  private static final long NEW_VERSION = 8;
 
   private final BusyClock clock = new BusyClock();
   private final AtomicLong inForceAt = new AtomicLong();
-  private CountDownLatch held;
+  private CountDownLatch blocked;
   private CountDownLatch released;
   private MetricRegistry registry;
   private NodeController node;
@@ -55,7 +55,7 @@
   /** Starts a host whose control thread is held until {@link #release}. */
   @BeforeMethod
   public void setUp() throws Exception {
-    held = new CountDownLatch(1);
+    blocked = new CountDownLatch(1);
     released = new CountDownLatch(1);
     registry = new MetricRegistry();
     EventLog log = new EventLog("test");
@@ -78,15 +78,15 @@
                 log,
                 new HostMetrics(registry),
                 new PeerTransport(
-                    transport(address), 1, new TransportCounters(registry), log, clock),
-                new SilentUpstreams(),
+                    transportSettings(address), 1, new TransportCounters(registry), log, clock),
+                new NoUpstreams(),
                 this::read,
                 Runnable::run,
                 new ControlThread(clock, log, registry)));
     node.start();
-    node.inFlight().get(1, TimeUnit.MINUTES);
-    node.received(OTHER, catalog(FIRST_VERSION));
-    held.await();
+    node.inFlightCount().get(1, TimeUnit.MINUTES);
+    node.messageReceived(OTHER, catalog(FIRST_VERSION));
+    blocked.await();
   }
 
   /** Ends its threads. */
@@ -97,57 +97,57 @@
 
   /** Hosts that dispatched obeyed a configuration for seconds after its successor was agreed. */
   @Test
-  public void takesConfigurationInForceWhileDispatchEventsPileUp() throws Exception {
+  public void putsCatalogInForceWhileDispatchEventsPileUp() throws Exception {
     final long begun = clock.millis();
-    pileUp();
-    node.received(OTHER, heartbeat());
-    node.received(OTHER, catalog(VERSION));
+    submitBacklog();
+    node.messageReceived(OTHER, heartbeat());
+    node.messageReceived(OTHER, catalog(NEW_VERSION));
     long passed = release() - begun;
-    assertTrue(passed > 2 * IN_FORCE_MILLIS, "the backlog is too small: " + passed);
+    assertTrue(passed > 2 * IN_FORCE_TIMEOUT_MILLIS, "the backlog is too small: " + passed);
     long late = inForceAt.get() - begun;
-    assertTrue(late <= IN_FORCE_MILLIS, "in force after " + late + " ms of " + passed);
+    assertTrue(late <= IN_FORCE_TIMEOUT_MILLIS, "in force after " + late + " ms of " + passed);
   }
 
   /** The others called an overloaded host lost, and its role went round. */
   @Test
   public void sendsHeartbeatsWhileDispatchEventsPileUp() throws Exception {
     final long begun = clock.millis();
-    final long before = heartbeats();
-    pileUp();
+    final long before = heartbeatCount();
+    submitBacklog();
     long passed = release() - begun;
-    long sent = heartbeats() - before;
+    long sent = heartbeatCount() - before;
     assertTrue(
         sent >= passed / LeaseTiming.ENTRY_HOST_SILENCE_TIMEOUT_MILLIS,
         sent + " heartbeats in " + passed + " ms");
   }
 
-  private void pileUp() {
-    for (int i = 0; i < BACKLOG; i++) {
-      node.received(OTHER, submission(i));
+  private void submitBacklog() {
+    for (int i = 0; i < BACKLOG_SIZE; i++) {
+      node.messageReceived(OTHER, submission(i));
     }
   }
 
   /** Lets the control thread go on, and returns the time at which nothing waits any more. */
   private long release() throws Exception {
     released.countDown();
-    node.inFlight().get(1, TimeUnit.MINUTES);
+    node.inFlightCount().get(1, TimeUnit.MINUTES);
     return clock.millis();
   }
 
-  private long heartbeats() {
+  private long heartbeatCount() {
     return registry.counter("peer.dropped.heartbeat").getCount();
   }
 
   private Catalog read(String text) throws CatalogException {
-    final boolean first = held.getCount() > 0;
-    held.countDown();
+    final boolean first = blocked.getCount() > 0;
+    blocked.countDown();
     try {
       released.await();
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
     inForceAt.set(clock.millis());
-    return Catalog.of(first ? FIRST_VERSION : VERSION, List.of(), Set.of());
+    return Catalog.of(first ? FIRST_VERSION : NEW_VERSION, List.of(), Set.of());
   }
 
   private static PeerMessage submission(int number) {
@@ -164,11 +164,11 @@
 
   private static PeerMessage heartbeat() {
     HostStatus status =
-        new HostStatus(OTHER, "entry", 1, 0, VERSION, 0, 0, false, "", new DomainLoad(0, 0));
+        new HostStatus(OTHER, "entry", 1, 0, NEW_VERSION, 0, 0, false, "", new DomainLoad(0, 0));
     return new PeerMessage.Heartbeat(status, OptionalLong.empty());
   }
 
-  private static TransportSettings transport(HostAddress address) {
+  private static TransportSettings transportSettings(HostAddress address) {
     return new TransportSettings(
         "c",
         HOST,
@@ -194,7 +194,7 @@
   }
 
   /** Upstreams that are never called, as none is known. */
-  private static final class SilentUpstreams implements UpstreamCalls {
+  private static final class NoUpstreams implements UpstreamCalls {
 
     @Override
     public void start(LeaseEffect.Start start, Consumer<LeaseEvent> answer) {
--- a/burdockbay-server/src/test/java/org/burdockbay/server/node/PeerSyncTrackerTest.java
+++ b/burdockbay-server/src/test/java/org/burdockbay/server/node/PeerSyncTrackerTest.java
@@ -16,35 +16,35 @@
 
   /** Guards against saturating the link of a restarted host with everything from every host. */
   @Test
-  public void limitsHostsThatSendEverythingAfterRestart() {
+  public void limitsFullSyncSendersAfterRestart() {
     for (String restarted : HOSTS) {
       long senders =
           HOSTS.stream()
               .filter(host -> !host.equals(restarted))
-              .filter(host -> new PeerSyncTracker(host, false).sendsEverything(restarted, HOSTS))
+              .filter(host -> new PeerSyncTracker(host, false).sendsFullSync(restarted, HOSTS))
               .count();
       assertEquals(senders, PeerSyncTracker.FULL_SYNC_SENDERS);
     }
-    assertTrue(new PeerSyncTracker(HOSTS.getLast(), true).sendsEverything(HOSTS.getFirst(), HOSTS));
+    assertTrue(new PeerSyncTracker(HOSTS.getLast(), true).sendsFullSync(HOSTS.getFirst(), HOSTS));
   }
 
   /** Guards against sending everything again after a mere reconnection. */
   @Test
-  public void resendsOnlyNewsSinceTheOtherHostLastHeardThisOne() {
+  public void resendsOnlyNewsSinceTheLastContact() {
     PeerSyncTracker tracker = new PeerSyncTracker("a", true);
     assertTrue(tracker.connected("b", 1, 1_000).isEmpty());
-    tracker.heardBy("b", 1, OptionalLong.of(100), 5_000);
+    tracker.contactReported("b", 1, OptionalLong.of(100), 5_000);
     assertEquals(tracker.connected("b", 1, 6_000), OptionalLong.of(4_400));
   }
 
   /** Guards against missing upstreams on a host that restarts or loses its connection early. */
   @Test
-  public void sendsEverythingUntilItHasArrived() {
+  public void repeatsFullSyncUntilItHasArrived() {
     PeerSyncTracker tracker = new PeerSyncTracker("a", true);
     tracker.connected("b", 1, 1_000);
-    tracker.heardBy("b", 1, OptionalLong.of(50), 1_100);
+    tracker.contactReported("b", 1, OptionalLong.of(50), 1_100);
     assertTrue(tracker.connected("b", 1, 1_200).isEmpty());
-    tracker.heardBy("b", 1, OptionalLong.of(50), 5_000);
+    tracker.contactReported("b", 1, OptionalLong.of(50), 5_000);
     assertTrue(tracker.connected("b", 2, 6_000).isEmpty());
   }
 }
--- a/burdockbay-server/src/test/java/org/burdockbay/server/node/FleetTest.java
+++ b/burdockbay-server/src/test/java/org/burdockbay/server/node/UpstreamGossipTest.java
@@ -13,21 +13,21 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** What a {@link Fleet} passes on to the dispatcher. */
-public class FleetTest {
+/** What a {@link UpstreamGossip} passes on to the dispatcher. */
+public class UpstreamGossipTest {
 
-  private static final long MINUTE = 60_000;
+  private static final long MINUTE_MILLIS = 60_000;
 
   private List<LeaseEvent> events;
-  private List<PeerMessage> told;
-  private Fleet fleet;
+  private List<PeerMessage> sentMessages;
+  private UpstreamGossip gossip;
 
   /** Makes a fleet that knows no upstream. */
   @BeforeMethod
-  public void makeFleet() {
+  public void createGossip() {
     events = new ArrayList<>();
-    told = new ArrayList<>();
-    fleet = new Fleet(events::add, told::add);
+    sentMessages = new ArrayList<>();
+    gossip = new UpstreamGossip(events::add, sentMessages::add);
   }
 
   /**
@@ -36,54 +36,54 @@
    * away until the hosts with a disk are back.
    */
   @Test
-  public void keepsUpstreamsWhileNobodyHearsTheirAnnouncements() {
-    fleet.announcedHere(notice(), 0);
-    for (long now = 0; now < 5 * MINUTE; now += 100) {
-      fleet.tick(now);
+  public void keepsUpstreamsWhileHostsWithDisksAreDown() {
+    gossip.upstreamAnnounced(announcement(), 0);
+    for (long now = 0; now < 5 * MINUTE_MILLIS; now += 100) {
+      gossip.tick(now);
     }
-    assertEquals(events, List.of(new LeaseEvent.Announced(notice())));
+    assertEquals(events, List.of(new LeaseEvent.Announced(announcement())));
   }
 
   /** An upstream that is gone for good without a word is forgotten at last. */
   @Test
-  public void forgetsUpstreamsThatAreSilentForLong() {
-    fleet.announcedHere(notice(), 0);
-    fleet.tick(Fleet.SILENCE_MILLIS + MINUTE);
+  public void expiresUpstreamsAfterTheSilenceTimeout() {
+    gossip.upstreamAnnounced(announcement(), 0);
+    gossip.tick(UpstreamGossip.SILENCE_TIMEOUT_MILLIS + MINUTE_MILLIS);
     assertTrue(events.getLast() instanceof LeaseEvent.Departed);
   }
 
   /** Guards against bytes and processor time that grow with hosts times upstreams. */
   @Test
-  public void passesOnRepeatedAnnouncementsRarely() {
+  public void relaysRepeatedAnnouncementsAtLongIntervals() {
     for (int second = 0; second <= 60; second++) {
-      fleet.announcedHere(notice(1 + second, false), second * 1_000L);
-      fleet.tick(second * 1_000L);
+      gossip.upstreamAnnounced(announcement(1 + second, false), second * 1_000L);
+      gossip.tick(second * 1_000L);
     }
-    assertEquals(told.size(), 2);
+    assertEquals(sentMessages.size(), 2);
   }
 
   /** Guards against tasks that go to an upstream which has said that it leaves. */
   @Test
-  public void passesOnAtOnceThatAnUpstreamLeaves() {
-    fleet.announcedHere(notice(), 0);
-    fleet.tick(0);
-    fleet.announcedHere(notice(2, true), 1_000);
-    fleet.tick(1_000);
-    PeerMessage.UpstreamNews last = (PeerMessage.UpstreamNews) told.getLast();
+  public void relaysLeavingUpstreamsImmediately() {
+    gossip.upstreamAnnounced(announcement(), 0);
+    gossip.tick(0);
+    gossip.upstreamAnnounced(announcement(2, true), 1_000);
+    gossip.tick(1_000);
+    PeerMessage.UpstreamNews last = (PeerMessage.UpstreamNews) sentMessages.getLast();
     assertTrue(last.announced().getFirst().notice().leaving());
   }
 
   /** Guards against the loss of news that was in flight when a connection broke. */
   @Test
   public void resendsNewsThatMayHaveBeenMissed() {
-    fleet.announcedHere(notice(), 0);
-    fleet.tick(0);
-    fleet.announcedHere(notice(2, true), 1_000);
-    fleet.tick(1_000);
-    assertEquals(fleet.tellSince(500, 2_000).orElseThrow(), aged(told.getLast(), 1_000));
-    assertTrue(fleet.tellSince(1_500, 2_000).isEmpty());
-    long late = 1_000 + 2 * Fleet.NEWS_RETENTION_MILLIS;
-    assertEquals(fleet.tellSince(500, late), fleet.tellAll(late));
+    gossip.upstreamAnnounced(announcement(), 0);
+    gossip.tick(0);
+    gossip.upstreamAnnounced(announcement(2, true), 1_000);
+    gossip.tick(1_000);
+    assertEquals(gossip.newsSince(500, 2_000).orElseThrow(), aged(sentMessages.getLast(), 1_000));
+    assertTrue(gossip.newsSince(1_500, 2_000).isEmpty());
+    long late = 1_000 + 2 * UpstreamGossip.NEWS_RETENTION_MILLIS;
+    assertEquals(gossip.newsSince(500, late), gossip.fullNews(late));
   }
 
   private static PeerMessage aged(PeerMessage message, long millis) {
@@ -98,11 +98,11 @@
         news.departed());
   }
 
-  private static UpstreamAnnouncement notice() {
-    return notice(1, false);
+  private static UpstreamAnnouncement announcement() {
+    return announcement(1, false);
   }
 
-  private static UpstreamAnnouncement notice(long sequence, boolean leaving) {
+  private static UpstreamAnnouncement announcement(long sequence, boolean leaving) {
     return new UpstreamAnnouncement(
         "u1",
         1,
--- a/burdockbay-server/src/test/java/org/burdockbay/server/settings/HostSettingsTest.java
+++ b/burdockbay-server/src/test/java/org/burdockbay/server/settings/HostSettingsTest.java
@@ -33,13 +33,13 @@
   @Test
   public void readsHostAndPeers() throws ConfigurationException {
     HostSettings settings = HostSettings.parse("a.ini", VALID);
-    assertEquals(settings.voterHosts(), List.of("a", "b"));
+    assertEquals(settings.voterIds(), List.of("a", "b"));
     assertEquals(settings.domainByHost().get("b"), "south");
   }
 
   /** An address that two hosts share is named with its line. */
   @Test
-  public void refusesAddressesGivenTwice() {
+  public void rejectsDuplicateAddresses() {
     String text = VALID.replace("7003", "7001");
     ConfigurationException e =
         expectThrows(ConfigurationException.class, () -> HostSettings.parse("a.ini", text));
--- a/burdockbay-server/src/test/java/org/burdockbay/server/storage/EpochFileTest.java
+++ b/burdockbay-server/src/test/java/org/burdockbay/server/storage/EpochFileTest.java
@@ -19,7 +19,7 @@
 
   /** Makes a folder. */
   @BeforeMethod
-  public void makeFolder() throws IOException {
+  public void createFolder() throws IOException {
     folder = Files.createTempDirectory("epoch");
   }
 
@@ -32,14 +32,14 @@
 
   /** A host that never saw an epoch knows none. */
   @Test
-  public void knowsNoEpochAtFirst() throws StorageException {
+  public void returnsNoEpochWithoutFile() throws StorageException {
     assertEquals(new EpochFile(folder).read(), EpochFile.Content.NONE);
     assertEquals(EpochFile.Content.NONE.epoch(), 0);
   }
 
   /** The process is killed and starts again: it knows what it has saved last. */
   @Test
-  public void keepsTheLastEpoch() throws StorageException {
+  public void keepsTheLastEpochAcrossRestarts() throws StorageException {
     EpochFile.Content last = new EpochFile.Content(1L << 52, new ShardLayout(4));
     new EpochFile(folder).write(new EpochFile.Content(7, ShardLayout.UNDIVIDED));
     new EpochFile(folder).write(last);
@@ -48,16 +48,16 @@
 
   /** A file that an earlier version has left is read after an upgrade. */
   @Test
-  public void readsEpochsThatWereSavedWithoutLayout() throws IOException, StorageException {
+  public void readsEpochsSavedWithoutLayout() throws IOException, StorageException {
     byte[] epoch = ByteBuffer.allocate(Long.BYTES).putLong(1L << 52).array();
-    RecordFile.writeWhole(FileDisk.INSTANCE, folder.resolve("epoch"), epoch);
+    RecordFile.writeSingleRecord(FileDisk.INSTANCE, folder.resolve("epoch"), epoch);
     assertEquals(
         new EpochFile(folder).read(), new EpochFile.Content(1L << 52, ShardLayout.UNDIVIDED));
   }
 
   /** A torn or foreign file is told apart from none. */
   @Test
-  public void complainsOfUnreadableContent() throws IOException {
+  public void rejectsUnreadableContent() throws IOException {
     Files.writeString(folder.resolve("epoch"), "not a record");
     assertThrows(StorageException.class, () -> new EpochFile(folder).read());
   }
--- a/burdockbay-server/src/test/java/org/burdockbay/server/storage/LogStoreFuzzTest.java
+++ b/burdockbay-server/src/test/java/org/burdockbay/server/storage/LogStoreFuzzTest.java
@@ -27,34 +27,34 @@
   private static final Path FOLDER = Path.of("/data/group-1");
   private static final int SEEDS = 400 * Integer.getInteger("fuzz.factor", 1);
   private static final long FIRST_SEED = Long.getLong("fuzz.seed", 1);
-  private static final int LIVES = 12;
+  private static final int PROCESS_COUNT = 12;
 
   /** What was written and synced, or read back, is there after the next start. */
   @Test
-  public void keepsWhatWasSyncedOrReadBack() throws StorageException {
+  public void keepsStateThatWasSyncedOrReadBack() throws StorageException {
     for (long seed = FIRST_SEED; seed < FIRST_SEED + SEEDS; seed++) {
-      new Play(seed).run();
+      new Simulation(seed).run();
     }
   }
 
   /** Seeds that once failed. */
   @Test
-  public void keepsHoldingForSeedsThatOnceFailed() throws StorageException {
+  public void keepsSyncedStateForSeedsThatOnceFailed() throws StorageException {
     for (long seed : new long[] {20261203, 20261207, 20270636}) {
-      new Play(seed).run();
+      new Simulation(seed).run();
     }
   }
 
   /** One disk and the processes that follow each other on it. */
-  private static final class Play {
+  private static final class Simulation {
 
     private final long seed;
     private final SplittableRandom random;
     private final ModelDisk disk;
-    private List<RecoveredLog> possible = List.of(RecoveredLog.EMPTY);
+    private List<RecoveredLog> possibleStates = List.of(RecoveredLog.EMPTY);
     private long committed;
 
-    Play(long seed) {
+    Simulation(long seed) {
       this.seed = seed;
       this.random = new SplittableRandom(seed);
       this.disk = new ModelDisk(seed);
@@ -62,9 +62,9 @@
     }
 
     void run() throws StorageException {
-      for (int life = 0; life < LIVES; life++) {
+      for (int life = 0; life < PROCESS_COUNT; life++) {
         try {
-          live();
+          runProcess();
         } catch (ModelDisk.ProcessKilled e) {
           disk.restart();
         }
@@ -78,23 +78,23 @@
       }
     }
 
-    private void live() throws StorageException {
+    private void runProcess() throws StorageException {
       if (random.nextInt(3) > 0) {
         disk.killAfter(random.nextInt(60));
       }
       LogStore store = open();
-      RecoveredLog recovered = store.recovered();
+      RecoveredLog recovered = store.recoveredLog();
       assertTrue(
-          possible.contains(recovered),
-          "seed " + seed + ": found " + recovered + ", expected one of " + possible);
-      possible = List.of(recovered);
-      committed = Math.max(baseOf(recovered), Math.min(committed, lastOf(recovered)));
+          possibleStates.contains(recovered),
+          "seed " + seed + ": found " + recovered + ", expected one of " + possibleStates);
+      possibleStates = List.of(recovered);
+      committed = Math.max(snapshotIndex(recovered), Math.min(committed, lastIndex(recovered)));
       for (int write = random.nextInt(8); write > 0; write--) {
-        List<RaftEffect.Persist> batch = batch(possible.getLast());
-        possible = statesDuring(batch, possible.getLast());
+        List<RaftEffect.Persist> batch = createBatch(possibleStates.getLast());
+        possibleStates = statesDuring(batch, possibleStates.getLast());
         store.write(batch);
-        possible = List.of(possible.getLast());
-        committed += random.nextLong(lastOf(possible.getLast()) - committed + 1);
+        possibleStates = List.of(possibleStates.getLast());
+        committed += random.nextLong(lastIndex(possibleStates.getLast()) - committed + 1);
       }
     }
 
@@ -102,31 +102,31 @@
       try {
         return new LogStore(disk, FOLDER, GroupId.CONTROL);
       } catch (StorageException e) {
-        throw new AssertionError("seed " + seed + ": expected one of " + possible, e);
+        throw new AssertionError("seed " + seed + ": expected one of " + possibleStates, e);
       }
     }
 
-    private List<RaftEffect.Persist> batch(RecoveredLog before) {
+    private List<RaftEffect.Persist> createBatch(RecoveredLog before) {
       List<RaftEffect.Persist> batch = new ArrayList<>();
       RecoveredLog state = before;
       for (int count = 1 + random.nextInt(2); count > 0; count--) {
-        RaftEffect.Persist next = persist(state);
+        RaftEffect.Persist next = createWrite(state);
         batch.add(next);
         state = statesDuring(List.of(next), state).getLast();
       }
       return batch;
     }
 
-    private RaftEffect.Persist persist(RecoveredLog state) {
+    private RaftEffect.Persist createWrite(RecoveredLog state) {
       return switch (random.nextInt(8)) {
-        case 0 -> compaction(state);
-        case 1 -> replacement(state);
-        case 2 -> overwrite(state);
-        default -> appends(state, Optional.empty());
+        case 0 -> createCompaction(state);
+        case 1 -> createReplacement(state);
+        case 2 -> createOverwrite(state);
+        default -> createAppend(state, Optional.empty());
       };
     }
 
-    private RaftEffect.Persist appends(RecoveredLog state, Optional<Snapshot> snapshot) {
+    private RaftEffect.Persist createAppend(RecoveredLog state, Optional<Snapshot> snapshot) {
       HardState hardState = state.hardState();
       if (hardState.term() == 0 || random.nextInt(4) == 0) {
         hardState = new HardState(hardState.term() + 1, Optional.of(new VoterId("b", 1)));
@@ -136,44 +136,44 @@
           Optional.of(hardState).filter(changed -> !changed.equals(state.hardState())),
           snapshot,
           OptionalLong.empty(),
-          entries(lastOf(state) + 1, hardState.term(), random.nextInt(4)));
+          createEntries(lastIndex(state) + 1, hardState.term(), random.nextInt(4)));
     }
 
-    private RaftEffect.Persist compaction(RecoveredLog state) {
+    private RaftEffect.Persist createCompaction(RecoveredLog state) {
       List<LogEntry> applied =
           state.entries().stream().filter(entry -> entry.index() <= committed).toList();
       if (applied.isEmpty()) {
-        return appends(state, Optional.empty());
+        return createAppend(state, Optional.empty());
       }
       LogEntry last = applied.get(random.nextInt(applied.size()));
-      return appends(state, Optional.of(snapshot(last.index(), last.term())));
+      return createAppend(state, Optional.of(createSnapshot(last.index(), last.term())));
     }
 
-    private RaftEffect.Persist replacement(RecoveredLog state) {
+    private RaftEffect.Persist createReplacement(RecoveredLog state) {
       long index = committed + 1 + random.nextLong(4);
       long term = state.hardState().term() + 1;
       HardState hardState = new HardState(term, Optional.empty());
-      Snapshot snapshot = snapshot(index, term);
+      Snapshot snapshot = createSnapshot(index, term);
       committed = index;
       return new RaftEffect.Persist(
           1, Optional.of(hardState), Optional.of(snapshot), OptionalLong.empty(), List.of());
     }
 
-    private RaftEffect.Persist overwrite(RecoveredLog state) {
-      if (lastOf(state) <= committed) {
-        return appends(state, Optional.empty());
+    private RaftEffect.Persist createOverwrite(RecoveredLog state) {
+      if (lastIndex(state) <= committed) {
+        return createAppend(state, Optional.empty());
       }
-      long from = committed + 1 + random.nextLong(lastOf(state) - committed);
+      long from = committed + 1 + random.nextLong(lastIndex(state) - committed);
       long term = state.hardState().term() + 1;
       return new RaftEffect.Persist(
           1,
           Optional.of(new HardState(term, Optional.empty())),
           Optional.empty(),
           OptionalLong.of(from),
-          entries(from, term, 1 + random.nextInt(3)));
+          createEntries(from, term, 1 + random.nextInt(3)));
     }
 
-    private List<LogEntry> entries(long from, long term, int count) {
+    private List<LogEntry> createEntries(long from, long term, int count) {
       List<LogEntry> entries = new ArrayList<>();
       for (long index = from; index < from + count; index++) {
         byte[] data = "x".repeat(1 + random.nextInt(40)).getBytes(StandardCharsets.UTF_8);
@@ -182,7 +182,7 @@
       return entries;
     }
 
-    private static Snapshot snapshot(long index, long term) {
+    private static Snapshot createSnapshot(long index, long term) {
       return new Snapshot(index, term, 0, VoterSet.EMPTY, Bytes.EMPTY);
     }
   }
@@ -227,11 +227,11 @@
     return new RecoveredLog(state.hardState(), state.snapshot(), kept);
   }
 
-  private static long baseOf(RecoveredLog log) {
+  private static long snapshotIndex(RecoveredLog log) {
     return log.snapshot().map(Snapshot::index).orElse(0L);
   }
 
-  private static long lastOf(RecoveredLog log) {
-    return log.entries().isEmpty() ? baseOf(log) : log.entries().getLast().index();
+  private static long lastIndex(RecoveredLog log) {
+    return log.entries().isEmpty() ? snapshotIndex(log) : log.entries().getLast().index();
   }
 }
--- a/burdockbay-server/src/test/java/org/burdockbay/server/storage/LogStoreTest.java
+++ b/burdockbay-server/src/test/java/org/burdockbay/server/storage/LogStoreTest.java
@@ -33,7 +33,7 @@
 
   /** Makes a folder for each test. */
   @BeforeMethod
-  public void makeFolder() throws IOException {
+  public void createFolder() throws IOException {
     folder = Files.createTempDirectory("log-store");
   }
 
@@ -63,9 +63,9 @@
    * synced, so nobody was promised it; the host must start without it and without an operator.
    */
   @Test
-  public void cutsOffTornTails() throws StorageException, IOException {
+  public void truncatesTornTails() throws StorageException, IOException {
     write(persist(VOTED, entries(1, 5)));
-    Path segment = newest();
+    Path segment = newestSegment();
     byte[] bytes = Files.readAllBytes(segment);
     Files.write(segment, java.util.Arrays.copyOf(bytes, bytes.length - 3));
     assertEquals(reopen().entries(), entries(1, 4));
@@ -74,9 +74,9 @@
 
   /** Zeros at the end are blocks that the file system had reserved before the power failed. */
   @Test
-  public void cutsOffZerosAtTheEnd() throws StorageException, IOException {
+  public void truncatesZerosAtTheEnd() throws StorageException, IOException {
     write(persist(VOTED, entries(1, 5)));
-    Files.write(newest(), new byte[4096], StandardOpenOption.APPEND);
+    Files.write(newestSegment(), new byte[4096], StandardOpenOption.APPEND);
     assertEquals(reopen().entries(), entries(1, 5));
   }
 
@@ -85,9 +85,9 @@
    * would take back what was acknowledged; the folder must be refused as corrupt.
    */
   @Test
-  public void refusesFlippedBitsInTheMiddle() throws StorageException, IOException {
+  public void rejectsFlippedBitsBeforeValidRecords() throws StorageException, IOException {
     write(persist(VOTED, entries(1, 5)));
-    Path segment = newest();
+    Path segment = newestSegment();
     byte[] bytes = Files.readAllBytes(segment);
     bytes[bytes.length / 2] ^= 4;
     Files.write(segment, bytes);
@@ -98,7 +98,7 @@
 
   /** Hundreds of changes and snapshots leave few files, and a restart reads only what counts. */
   @Test
-  public void dropsSegmentsThatSnapshotsCover() throws StorageException, IOException {
+  public void deletesSegmentsCoveredBySnapshots() throws StorageException, IOException {
     try (LogStore store = new LogStore(folder, GroupId.CONTROL)) {
       for (int i = 0; i < 20; i++) {
         long from = i * 10L + 1;
@@ -119,7 +119,7 @@
    * must not come back behind the snapshot, as if they followed it.
    */
   @Test
-  public void forgetsEntriesOfReplacedBranches() throws StorageException {
+  public void discardsEntriesOfReplacedBranches() throws StorageException {
     write(persist(VOTED, entries(1, 9)));
     write(snapshot(5, 8));
     RecoveredLog recovered = reopen();
@@ -129,7 +129,7 @@
 
   /** Entries that were removed before a crash stay removed. */
   @Test
-  public void truncatesBeforeItAppends() throws StorageException {
+  public void keepsTruncatedEntriesRemoved() throws StorageException {
     write(persist(VOTED, entries(1, 5)));
     write(
         new RaftEffect.Persist(
@@ -141,7 +141,7 @@
 
   /** A disk of another host, or a folder that a second process opens, is refused by name. */
   @Test
-  public void refusesForeignFolders() throws StorageException {
+  public void rejectsFoldersOfOtherHostsAndFoldersInUse() throws StorageException {
     Path path = folder.resolve("data");
     try (DataFolder first = DataFolder.open(path, "cluster", "a")) {
       assertTrue(first.incarnation() > DataFolder.BOOTSTRAP_INCARNATION);
@@ -162,11 +162,11 @@
 
   private RecoveredLog reopen() throws StorageException {
     try (LogStore store = new LogStore(folder, GroupId.CONTROL)) {
-      return store.recovered();
+      return store.recoveredLog();
     }
   }
 
-  private Path newest() throws IOException {
+  private Path newestSegment() throws IOException {
     try (Stream<Path> files = Files.list(folder)) {
       return files
           .filter(file -> file.getFileName().toString().startsWith("segment"))
--- a/burdockbay-server/src/test/java/org/burdockbay/server/storage/LogWriterTest.java
+++ b/burdockbay-server/src/test/java/org/burdockbay/server/storage/LogWriterTest.java
@@ -18,7 +18,7 @@
 
   /** A defect in the writer's thread must not leave a voter whose writes are never synced. */
   @Test
-  public void tellsOfDefectsInItsThread() throws Exception {
+  public void reportsFailuresOfItsThread() throws Exception {
     ModelDisk disk = new ModelDisk(1);
     LogStore store = new LogStore(disk, Path.of("/data"), GroupId.CONTROL);
     CompletableFuture<StorageException> failure = new CompletableFuture<>();
--- a/burdockbay-server/src/test/java/org/burdockbay/server/storage/ModelDisk.java
+++ b/burdockbay-server/src/test/java/org/burdockbay/server/storage/ModelDisk.java
@@ -52,23 +52,23 @@
 
   /** Loses everything that wasn't synced. */
   void losePower() {
-    endPower(change -> false);
+    applyPowerLoss(change -> false);
   }
 
   /** Loses all unsynced writes, but no name. */
-  void losePowerButNames() {
+  void losePowerKeepingNames() {
     durableNames = new TreeMap<>(names);
     losePower();
   }
 
   /** Loses one unsynced write of each file, by its place among these, and keeps the others. */
-  void losePowerAndWrite(int lost) {
-    endPower(change -> change != lost);
+  void losePowerAndOneWrite(int lost) {
+    applyPowerLoss(change -> change != lost);
   }
 
   /** Keeps, loses or tears each unsynced write, and keeps or loses each unsynced name. */
   void losePowerAtRandom() {
-    endPower(change -> random.nextBoolean());
+    applyPowerLoss(change -> random.nextBoolean());
   }
 
   /** Creates a folder whose name isn't lost. */
@@ -78,13 +78,13 @@
   }
 
   /** Changes bytes of a file, as a defect of the disk does. */
-  void damage(Path file, int offset, byte[] bytes) throws IOException {
+  void corrupt(Path file, int offset, byte[] bytes) throws IOException {
     Inode inode = inode(file);
     inode.apply(new ContentChange(offset, Bytes.copyOf(bytes)));
     inode.sync();
   }
 
-  private void endPower(IntPredicate kept) {
+  private void applyPowerLoss(IntPredicate kept) {
     restart();
     for (int change = 0; change < unsyncedNames.size(); change++) {
       if (kept.test(change)) {
@@ -92,22 +92,22 @@
       }
     }
     unsyncedNames.clear();
-    durableNames.keySet().removeIf(path -> !reachable(path));
+    durableNames.keySet().removeIf(path -> !isReachable(path));
     names = new TreeMap<>(durableNames);
     names.values().forEach(inode -> inode.losePower(kept, random));
   }
 
-  private boolean reachable(Path path) {
+  private boolean isReachable(Path path) {
     return path.equals(ROOT)
-        || (durableNames.containsKey(path.getParent()) && reachable(path.getParent()));
+        || (durableNames.containsKey(path.getParent()) && isReachable(path.getParent()));
   }
 
   @Override
   public void createFolders(Path folder) throws IOException {
     if (!exists(folder)) {
       createFolders(folder.getParent());
-      operation();
-      bind(folder, new Inode());
+      countOperation();
+      link(folder, new Inode());
     }
   }
 
@@ -137,11 +137,11 @@
 
   @Override
   public Writer create(Path file) throws IOException {
-    operation();
+    countOperation();
     Inode inode = names.get(file);
     if (inode == null) {
       inode = new Inode();
-      bind(file, inode);
+      link(file, inode);
     } else {
       inode.resize(0);
     }
@@ -150,15 +150,15 @@
 
   @Override
   public void truncate(Path file, long size) throws IOException {
-    operation();
+    countOperation();
     inode(file).resize((int) size);
   }
 
   @Override
   public void move(Path from, Path to) throws IOException {
-    operation();
+    countOperation();
     Inode inode = inode(from);
-    change(
+    changeNames(
         to.getParent(),
         bindings -> {
           bindings.remove(from);
@@ -168,13 +168,13 @@
 
   @Override
   public void delete(Path file) {
-    operation();
-    change(file.getParent(), bindings -> bindings.remove(file));
+    countOperation();
+    changeNames(file.getParent(), bindings -> bindings.remove(file));
   }
 
   @Override
   public void syncFolder(Path folder) {
-    operation();
+    countOperation();
     unsyncedNames.stream()
         .filter(change -> change.folder.equals(folder))
         .forEach(change -> change.effect.accept(durableNames));
@@ -183,7 +183,7 @@
 
   @Override
   public void sync(Path file) throws IOException {
-    operation();
+    countOperation();
     sync(inode(file));
   }
 
@@ -195,11 +195,11 @@
     inode.sync();
   }
 
-  private void bind(Path path, Inode inode) {
-    change(path.getParent(), bindings -> bindings.put(path, inode));
+  private void link(Path path, Inode inode) {
+    changeNames(path.getParent(), bindings -> bindings.put(path, inode));
   }
 
-  private void change(Path folder, Consumer<Map<Path, Inode>> effect) {
+  private void changeNames(Path folder, Consumer<Map<Path, Inode>> effect) {
     effect.accept(names);
     unsyncedNames.add(new NameChange(folder, effect));
   }
@@ -212,7 +212,7 @@
     return inode;
   }
 
-  private void operation() {
+  private void countOperation() {
     if (operationsLeft <= 0) {
       throw new ProcessKilled();
     }
@@ -230,18 +230,18 @@
   /** An unsynced write, or an unsynced change of the size if there are no bytes. */
   private record ContentChange(int offset, Bytes bytes) {
 
-    boolean resizes() {
+    boolean isResize() {
       return bytes.size() == 0;
     }
 
     byte[] applyTo(byte[] content) {
       int end = offset + bytes.size();
-      byte[] changed = Arrays.copyOf(content, resizes() ? offset : Math.max(end, content.length));
+      byte[] changed = Arrays.copyOf(content, isResize() ? offset : Math.max(end, content.length));
       System.arraycopy(bytes.toArray(), 0, changed, offset, bytes.size());
       return changed;
     }
 
-    ContentChange torn(SplittableRandom random) {
+    ContentChange tornRandomly(SplittableRandom random) {
       return new ContentChange(offset, bytes.slice(0, random.nextInt(bytes.size()) + 1));
     }
   }
@@ -274,8 +274,8 @@
       for (int change = 0; change < unsynced.size(); change++) {
         if (kept.test(change)) {
           ContentChange made = unsynced.get(change);
-          boolean whole = made.resizes() || kept.test(change);
-          durable = (whole ? made : made.torn(random)).applyTo(durable);
+          boolean whole = made.isResize() || kept.test(change);
+          durable = (whole ? made : made.tornRandomly(random)).applyTo(durable);
         }
       }
       content = durable;
@@ -293,7 +293,7 @@
 
     @Override
     public void write(ByteBuffer buffer) {
-      operation();
+      countOperation();
       byte[] bytes = new byte[buffer.remaining()];
       buffer.get(bytes);
       inode.write(bytes);
@@ -301,7 +301,7 @@
 
     @Override
     public void sync() throws IOException {
-      operation();
+      countOperation();
       ModelDisk.this.sync(inode);
     }
 
--- a/burdockbay-server/src/test/java/org/burdockbay/server/storage/PowerLossTest.java
+++ b/burdockbay-server/src/test/java/org/burdockbay/server/storage/PowerLossTest.java
@@ -30,7 +30,7 @@
 
   /** Makes a disk with an empty folder for each test. */
   @BeforeMethod
-  public void makeDisk() {
+  public void createDisk() {
     disk = new ModelDisk(1);
     disk.createDurableFolder(FOLDER);
   }
@@ -44,18 +44,18 @@
     assertThrows(ModelDisk.ProcessKilled.class, () -> killed.write(List.of(append(6, 6))));
     disk.restart();
     LogStore started = open();
-    assertEquals(started.recovered().entries(), entries(1, 6));
+    assertEquals(started.recoveredLog().entries(), entries(1, 6));
     started.write(List.of(append(7, 7)));
     disk.losePower();
-    assertEquals(open().recovered().entries(), entries(1, 7));
+    assertEquals(open().recoveredLog().entries(), entries(1, 7));
   }
 
   /** An earlier one of several unsynced writes is lost, the later ones are not. */
   @Test
-  public void cutsOffUnsyncedBatchWithHole() throws StorageException {
+  public void truncatesUnsyncedBatchWithHole() throws StorageException {
     for (int operations = 0; operations < 6; operations++) {
       for (int lost = 0; lost < 5; lost++) {
-        makeDisk();
+        createDisk();
         LogStore killed = open();
         killed.write(List.of(persist(VOTED, entries(1, 5))));
         disk.killAfter(operations);
@@ -64,8 +64,8 @@
         } catch (ModelDisk.ProcessKilled e) {
           // The next process goes on with what is left.
         }
-        disk.losePowerAndWrite(lost);
-        List<LogEntry> found = open().recovered().entries();
+        disk.losePowerAndOneWrite(lost);
+        List<LogEntry> found = open().recoveredLog().entries();
         assertEquals(found, entries(1, Math.max(5, found.size())));
       }
     }
@@ -73,20 +73,20 @@
 
   /** A synced block reads as zeros; the good records after it show that it was synced. */
   @Test
-  public void refusesHoleInSyncedBatch() throws StorageException, IOException {
+  public void rejectsHoleInSyncedBatch() throws StorageException, IOException {
     LogStore store = open();
     store.write(List.of(persist(VOTED, entries(1, 2))));
     Path segment = FOLDER.resolve("segment-000000000001");
     int synced = disk.read(segment).length;
     store.write(List.of(persist(VOTED, entries(3, 5))));
-    disk.damage(segment, synced - 20, new byte[20]);
+    disk.corrupt(segment, synced - 20, new byte[20]);
     StorageException e = expectThrows(StorageException.class, this::open);
     assertEquals(e.fault(), StorageException.Fault.CORRUPT);
   }
 
   /** A segment is missing in the middle of the log. */
   @Test
-  public void refusesLogWithGap() throws StorageException {
+  public void rejectsLogWithMissingSegment() throws StorageException {
     open().write(List.of(persist(VOTED, entries(1, 5))));
     open().write(List.of(append(6, 7)));
     open().write(List.of(append(8, 9)));
@@ -97,17 +97,17 @@
 
   /** Entries that follow a snapshot of another branch are kept. */
   @Test
-  public void keepsEntriesThatFollowReplacedBranch() throws StorageException {
+  public void keepsEntriesAfterReplacedBranch() throws StorageException {
     LogStore store = open();
     store.write(List.of(persist(VOTED, entries(1, 9))));
     store.write(List.of(snapshot(5, 8)));
     store.write(List.of(append(6, 7)));
-    assertEquals(open().recovered().entries(), entries(6, 7));
+    assertEquals(open().recoveredLog().entries(), entries(6, 7));
   }
 
   /** A segment that replaced entries of an older one is read without the older one. */
   @Test
-  public void opensSegmentThatTruncatedDeletedOne() throws StorageException {
+  public void opensSegmentThatTruncatedDeletedSegment() throws StorageException {
     open().write(List.of(persist(VOTED, entries(1, 3))));
     LogStore store = open();
     store.write(
@@ -115,7 +115,7 @@
             new RaftEffect.Persist(
                 1, Optional.of(VOTED), Optional.empty(), OptionalLong.of(2), entries(2, 7))));
     store.write(List.of(snapshot(6, 1)));
-    assertEquals(open().recovered().entries(), entries(7, 7));
+    assertEquals(open().recoveredLog().entries(), entries(7, 7));
   }
 
   /** A segment whose first write is lost must not stop the store at the next snapshot. */
@@ -124,16 +124,16 @@
     open().write(List.of(persist(VOTED, entries(1, 5))));
     disk.killAfter(3);
     assertThrows(ModelDisk.ProcessKilled.class, this::open);
-    disk.losePowerButNames();
+    disk.losePowerKeepingNames();
     LogStore store = open();
     store.write(List.of(append(6, 9)));
     store.write(List.of(snapshot(8, 1)));
-    assertEquals(open().recovered().entries(), entries(9, 9));
+    assertEquals(open().recoveredLog().entries(), entries(9, 9));
   }
 
   /** A sync that succeeds after one that failed proves nothing, so the store takes no more. */
   @Test
-  public void takesNothingAfterFailedSync() throws StorageException {
+  public void rejectsWritesAfterFailedSync() throws StorageException {
     LogStore store = open();
     store.write(List.of(persist(VOTED, entries(1, 5))));
     disk.failNextSync();
@@ -143,19 +143,19 @@
       assertEquals(e.fault(), StorageException.Fault.FAILED);
     }
     disk.losePower();
-    assertEquals(open().recovered().entries(), entries(1, 5));
+    assertEquals(open().recoveredLog().entries(), entries(1, 5));
   }
 
   /** The vote of a voter is gone if the name of its log's folder is. */
   @Test
-  public void keepsFolderOfGroup() throws StorageException {
+  public void keepsGroupFolder() throws StorageException {
     try (DataFolder folder = DataFolder.open(disk, FOLDER, "cluster", "a")) {
-      new LogStore(disk, folder.group(1), GroupId.CONTROL)
+      new LogStore(disk, folder.groupFolder(1), GroupId.CONTROL)
           .write(List.of(persist(VOTED, entries(1, 5))));
     }
     disk.losePower();
     LogStore store = new LogStore(disk, FOLDER.resolve("group-1"), GroupId.CONTROL);
-    assertEquals(store.recovered().hardState(), VOTED);
+    assertEquals(store.recoveredLog().hardState(), VOTED);
   }
 
   /** A kill during the first start must not leave a folder that is refused for ever. */
@@ -170,27 +170,27 @@
         // The next process goes on with what is left.
       }
       disk.restart();
-      long incarnation = openedIncarnation();
+      long incarnation = openAndReadIncarnation();
       disk.losePower();
-      assertEquals(openedIncarnation(), incarnation, operations + " operations");
+      assertEquals(openAndReadIncarnation(), incarnation, operations + " operations");
     }
   }
 
   /** An epoch that a start has read is known after the next one too. */
   @Test
   public void keepsEpochReadBackAfterKill() throws StorageException {
-    openedIncarnation();
+    openAndReadIncarnation();
     EpochFile.Content epoch = new EpochFile.Content(7, ShardLayout.UNDIVIDED);
     disk.killAfter(4);
     assertThrows(ModelDisk.ProcessKilled.class, () -> new EpochFile(disk, FOLDER).write(epoch));
     disk.restart();
-    openedIncarnation();
+    openAndReadIncarnation();
     assertEquals(new EpochFile(disk, FOLDER).read(), epoch);
     disk.losePower();
     assertEquals(new EpochFile(disk, FOLDER).read(), epoch);
   }
 
-  private long openedIncarnation() throws StorageException {
+  private long openAndReadIncarnation() throws StorageException {
     try (DataFolder folder = DataFolder.open(disk, FOLDER, "cluster", "a")) {
       return folder.incarnation();
     }
--- a/burdockbay-server/src/test/java/org/burdockbay/server/transport/CatalogCodecTest.java
+++ b/burdockbay-server/src/test/java/org/burdockbay/server/transport/CatalogCodecTest.java
@@ -30,13 +30,13 @@
   @Test
   public void readsCatalogsThatWereLoggedAsText() throws Exception {
     ControlCommand publish = new ControlCommand.PublishCatalog(CATALOG);
-    assertEquals(ControlCodec.command(ControlCodec.toBytes(publish)), publish);
+    assertEquals(ControlCodec.decodeCommand(ControlCodec.toBytes(publish)), publish);
     Wire.ControlCommand asText =
         Wire.ControlCommand.newBuilder()
             .setPublishCatalog(
                 Wire.CatalogDocument.newBuilder().setVersion(7).setText(CATALOG.text()))
             .build();
-    assertEquals(ControlCodec.command(Bytes.copyOf(asText.toByteArray())), publish);
+    assertEquals(ControlCodec.decodeCommand(Bytes.copyOf(asText.toByteArray())), publish);
   }
 
   private static Bytes bytes(int... values) {
--- a/burdockbay-server/src/test/java/org/burdockbay/server/transport/InboundHandlerTest.java
+++ b/burdockbay-server/src/test/java/org/burdockbay/server/transport/InboundHandlerTest.java
@@ -19,11 +19,11 @@
 /** What the accepting end of a connection passes on. */
 public class InboundHandlerTest {
 
-  private static final long STALE_MILLIS = 450;
+  private static final long MAX_GAP_MILLIS = 450;
   private static final PeerMessage MESSAGE = new PeerMessage.CancelWork(1, "w");
 
   private final List<PeerMessage> received = new ArrayList<>();
-  private final List<String> connected = new ArrayList<>();
+  private final List<String> authenticatedHosts = new ArrayList<>();
   private EmbeddedChannel channel;
   private long now;
 
@@ -32,30 +32,30 @@
   public void setUp() {
     now = 10_000;
     received.clear();
-    connected.clear();
+    authenticatedHosts.clear();
     Handshake there = new Handshake(settings("10.0.0.2"), 1);
     channel =
         new EmbeddedChannel(
             new InboundHandler(
                 new Handshake(settings("10.0.0.1"), 1),
                 new Listener(),
-                connected::add,
-                STALE_MILLIS,
+                authenticatedHosts::add,
+                MAX_GAP_MILLIS,
                 () -> now,
                 new TransportCounters(new MetricRegistry()),
                 new EventLog("test")));
     channel.writeInbound(Wire.Envelope.newBuilder().setHello(there.hello()).build());
     channel.writeInbound(
         Wire.Envelope.newBuilder().setProof(Wire.Proof.getDefaultInstance()).build());
-    assertEquals(connected, List.of("10.0.0.2"));
+    assertEquals(authenticatedHosts, List.of("10.0.0.2"));
   }
 
   /** Heartbeats that come a little late are believed. */
   @Test
   public void passesOnMessagesWithinTheGap() {
-    now += STALE_MILLIS;
+    now += MAX_GAP_MILLIS;
     channel.writeInbound(PeerCodec.encode(MESSAGE));
-    now += STALE_MILLIS;
+    now += MAX_GAP_MILLIS;
     channel.writeInbound(PeerCodec.encode(MESSAGE));
     assertEquals(received.size(), 2);
     assertTrue(channel.isOpen());
@@ -67,9 +67,9 @@
    * which cost both sides the work under way; old work would start after it was refused.
    */
   @Test
-  public void believesNothingAfterLongGaps() {
+  public void dropsMessagesAfterLongGaps() {
     channel.writeInbound(PeerCodec.encode(MESSAGE));
-    now += STALE_MILLIS + 1;
+    now += MAX_GAP_MILLIS + 1;
     channel.writeInbound(PeerCodec.encode(MESSAGE), PeerCodec.encode(MESSAGE));
     assertEquals(received.size(), 1);
     assertFalse(channel.isOpen());
@@ -77,18 +77,18 @@
 
   private static TransportSettings settings(String host) {
     return new TransportSettings(
-        "c", host, "", new HostAddress(host, 1), other -> true, 1, 1_000, 1_000, STALE_MILLIS);
+        "c", host, "", new HostAddress(host, 1), other -> true, 1, 1_000, 1_000, MAX_GAP_MILLIS);
   }
 
   private final class Listener implements PeerListener {
 
     @Override
-    public void received(String host, PeerMessage message) {
+    public void messageReceived(String host, PeerMessage message) {
       received.add(message);
     }
 
     @Override
-    public void reset(String host) {
+    public void connectionOpened(String host) {
       // Nothing is sent back here.
     }
   }
--- a/burdockbay-server/src/test/java/org/burdockbay/server/web/WebListenerTest.java
+++ b/burdockbay-server/src/test/java/org/burdockbay/server/web/WebListenerTest.java
@@ -22,13 +22,13 @@
 /** What a planned stop learns from a listener about the requests in flight. */
 public class WebListenerTest {
 
-  private static final int RECEIVE_BYTES = 4_096;
-  private static final long POLL_MILLIS = 5;
+  private static final int RECEIVE_BUFFER_BYTES = 4_096;
+  private static final long POLL_INTERVAL_MILLIS = 5;
 
   /** More than the kernel's buffers of a connection take. */
-  private static final String LARGE_ANSWER = "x".repeat(32 * 1024 * 1024);
+  private static final String LARGE_RESPONSE = "x".repeat(32 * 1024 * 1024);
 
-  private final BlockingQueue<WebExchange> unanswered = new LinkedBlockingQueue<>();
+  private final BlockingQueue<WebExchange> openExchanges = new LinkedBlockingQueue<>();
   private EventLoopGroup loops;
   private HostAddress address;
   private WebListener listener;
@@ -40,9 +40,10 @@
     try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       address = new HostAddress("127.0.0.1", socket.getLocalPort());
     }
-    unanswered.clear();
+    openExchanges.clear();
     listener =
-        new WebListener(loops, address, WebLimits.CALLERS, unanswered::add, new EventLog("test"));
+        new WebListener(
+            loops, address, WebLimits.CALLERS, openExchanges::add, new EventLog("test"));
     listener.start();
   }
 
@@ -55,56 +56,57 @@
 
   /** A planned stop cut off answers whose requests counted as done before they were written. */
   @Test
-  public void countsRequestsUntilTheirAnswersAreWritten() throws Exception {
+  public void countsRequestsUntilTheirResponsesAreWritten() throws Exception {
     try (Socket caller = new Socket()) {
-      caller.setReceiveBufferSize(RECEIVE_BYTES);
-      caller.connect(address.socket());
-      request(caller);
-      WebExchange exchange = unanswered.take();
-      assertEquals(listener.openRequests(), 1);
-      exchange.reply(WebReply.text(200, LARGE_ANSWER));
-      caller.getInputStream().readNBytes(RECEIVE_BYTES);
-      assertEquals(listener.openRequests(), 1);
-      caller.getInputStream().skipNBytes(LARGE_ANSWER.length() - RECEIVE_BYTES);
-      awaitNoRequests();
+      caller.setReceiveBufferSize(RECEIVE_BUFFER_BYTES);
+      caller.connect(address.toSocketAddress());
+      sendRequest(caller);
+      WebExchange exchange = openExchanges.take();
+      assertEquals(listener.openRequestCount(), 1);
+      exchange.respond(WebResponse.text(200, LARGE_RESPONSE));
+      caller.getInputStream().readNBytes(RECEIVE_BUFFER_BYTES);
+      assertEquals(listener.openRequestCount(), 1);
+      caller.getInputStream().skipNBytes(LARGE_RESPONSE.length() - RECEIVE_BUFFER_BYTES);
+      awaitNoOpenRequests();
     }
   }
 
   /** A planned stop took connections for idle while their last answer was being written. */
   @Test
-  public void writesWholeAnswersBeforeItClosesIdleConnections() throws Exception {
+  public void writesWholeResponsesBeforeClosingIdleConnections() throws Exception {
     try (Socket caller = new Socket()) {
-      caller.setReceiveBufferSize(RECEIVE_BYTES);
-      caller.connect(address.socket());
-      request(caller);
-      unanswered.take().reply(WebReply.text(200, LARGE_ANSWER));
-      caller.getInputStream().readNBytes(RECEIVE_BYTES);
+      caller.setReceiveBufferSize(RECEIVE_BUFFER_BYTES);
+      caller.connect(address.toSocketAddress());
+      sendRequest(caller);
+      openExchanges.take().respond(WebResponse.text(200, LARGE_RESPONSE));
+      caller.getInputStream().readNBytes(RECEIVE_BUFFER_BYTES);
       listener.drain();
       long rest = caller.getInputStream().transferTo(OutputStream.nullOutputStream());
-      assertTrue(rest + RECEIVE_BYTES > LARGE_ANSWER.length(), "only " + rest + " bytes came");
+      assertTrue(
+          rest + RECEIVE_BUFFER_BYTES > LARGE_RESPONSE.length(), "only " + rest + " bytes came");
     }
   }
 
   /** A planned stop must not wait for callers that have left. */
   @Test
-  public void forgetsRequestsOfClosedConnections() throws Exception {
+  public void stopsCountingRequestsOfClosedConnections() throws Exception {
     try (Socket caller = new Socket()) {
-      caller.connect(address.socket());
-      request(caller);
-      request(caller);
-      unanswered.take();
+      caller.connect(address.toSocketAddress());
+      sendRequest(caller);
+      sendRequest(caller);
+      openExchanges.take();
     }
-    awaitNoRequests();
+    awaitNoOpenRequests();
   }
 
-  private void awaitNoRequests() throws InterruptedException {
-    while (listener.openRequests() > 0) {
-      Thread.sleep(POLL_MILLIS);
+  private void awaitNoOpenRequests() throws InterruptedException {
+    while (listener.openRequestCount() > 0) {
+      Thread.sleep(POLL_INTERVAL_MILLIS);
     }
-    assertEquals(listener.openRequests(), 0);
+    assertEquals(listener.openRequestCount(), 0);
   }
 
-  private static void request(Socket caller) throws Exception {
+  private static void sendRequest(Socket caller) throws Exception {
     caller.getOutputStream().write("GET / HTTP/1.1\r\nHost: test\r\n\r\n".getBytes(UTF_8));
   }
 }
--- a/burdockbay-wire/src/main/java/org/burdockbay/wire/ControlCodec.java
+++ b/burdockbay-wire/src/main/java/org/burdockbay/wire/ControlCodec.java
@@ -63,7 +63,7 @@
    *
    * @throws WireException if it isn't one
    */
-  public static ControlCommand command(Bytes bytes) throws WireException {
+  public static ControlCommand decodeCommand(Bytes bytes) throws WireException {
     try {
       return decode(Wire.ControlCommand.parseFrom(bytes.toArray()));
     } catch (InvalidProtocolBufferException e) {
@@ -76,7 +76,7 @@
    *
    * @throws WireException if it isn't one
    */
-  public static ControlImage image(Bytes bytes) throws WireException {
+  public static ControlImage decodeImage(Bytes bytes) throws WireException {
     try {
       return decode(Wire.ControlImage.parseFrom(bytes.toArray()));
     } catch (InvalidProtocolBufferException e) {
--- a/burdockbay-wire/src/main/java/org/burdockbay/wire/LogRecordCodec.java
+++ b/burdockbay-wire/src/main/java/org/burdockbay/wire/LogRecordCodec.java
@@ -71,7 +71,7 @@
     switch (record.getRecordCase()) {
       case BASE -> {
         Wire.LogRecord.Base base = record.getBase();
-        visitor.base(base.getGroup(), base.getIndex(), base.getTerm());
+        visitor.visitBase(base.getGroup(), base.getIndex(), base.getTerm());
       }
       case HARD_STATE -> {
         Wire.LogRecord.HardState state = record.getHardState();
@@ -79,10 +79,10 @@
             state.hasVotedFor()
                 ? Optional.of(RaftCodec.decode(state.getVotedFor()))
                 : Optional.empty();
-        visitor.hardState(new HardState(state.getTerm(), vote));
+        visitor.visitHardState(new HardState(state.getTerm(), vote));
       }
-      case TRUNCATE_FROM -> visitor.truncateFrom(record.getTruncateFrom());
-      case ENTRY -> visitor.entry(RaftCodec.decode(record.getEntry()));
+      case TRUNCATE_FROM -> visitor.visitTruncation(record.getTruncateFrom());
+      case ENTRY -> visitor.visitEntry(RaftCodec.decode(record.getEntry()));
       default -> throw new WireException("log record of an unknown kind");
     }
   }
@@ -91,15 +91,15 @@
   public interface Visitor {
 
     /** The segment begins after the given entry. */
-    void base(int group, long index, long term) throws WireException;
+    void visitBase(int group, long index, long term) throws WireException;
 
     /** Term and vote from here on. */
-    void hardState(HardState state);
+    void visitHardState(HardState state);
 
     /** Entries from the index on are removed. */
-    void truncateFrom(long index);
+    void visitTruncation(long index);
 
     /** An entry follows. */
-    void entry(LogEntry entry) throws WireException;
+    void visitEntry(LogEntry entry) throws WireException;
   }
 }
--- a/burdockbay-wire/src/main/java/org/burdockbay/wire/PeerCodec.java
+++ b/burdockbay-wire/src/main/java/org/burdockbay/wire/PeerCodec.java
@@ -103,7 +103,7 @@
    */
   public static PeerMessage decode(Wire.Envelope envelope) throws WireException {
     return switch (envelope.getBodyCase()) {
-      case HEARTBEAT -> heartbeat(envelope.getHeartbeat());
+      case HEARTBEAT -> decodeHeartbeat(envelope.getHeartbeat());
       case RAFT ->
           new PeerMessage.Agreement(
               new GroupId(envelope.getRaft().getGroup()), RaftCodec.decode(envelope.getRaft()));
@@ -130,7 +130,7 @@
       case SUBMIT_JOB ->
           new PeerMessage.SubmitJob(
               SubmissionCodec.decode(envelope.getSubmitJob()),
-              SubmissionCodec.arrival(envelope.getSubmitJob()));
+              SubmissionCodec.decodeArrival(envelope.getSubmitJob()));
       case FOLLOW_JOB -> new PeerMessage.FollowJob(SubmissionCodec.decode(envelope.getFollowJob()));
       case CANCEL_JOB -> new PeerMessage.CancelJob(SubmissionCodec.decode(envelope.getCancelJob()));
       case REPORT_JOB ->
@@ -187,7 +187,7 @@
         Bytes.copyOf(part.getData().toByteArray()));
   }
 
-  private static PeerMessage.Heartbeat heartbeat(Wire.HostStatus status) {
+  private static PeerMessage.Heartbeat decodeHeartbeat(Wire.HostStatus status) {
     long heardAgo = status.getHeardAgoMsPlusOne();
     return new PeerMessage.Heartbeat(
         decode(status), heardAgo == 0 ? OptionalLong.empty() : OptionalLong.of(heardAgo - 1));
--- a/burdockbay-wire/src/main/java/org/burdockbay/wire/RaftCodec.java
+++ b/burdockbay-wire/src/main/java/org/burdockbay/wire/RaftCodec.java
@@ -37,7 +37,7 @@
               Wire.Raft.VoteReply.newBuilder()
                   .setGranted(reply.granted())
                   .setPreVote(reply.preVote()));
-      case RaftMessage.AppendRequest request -> raft.setAppendRequest(append(request));
+      case RaftMessage.AppendRequest request -> raft.setAppendRequest(encodeAppendRequest(request));
       case RaftMessage.AppendReply reply ->
           raft.setAppendReply(
               Wire.Raft.AppendReply.newBuilder()
@@ -190,7 +190,7 @@
     return Bytes.copyOf(bytes.toByteArray());
   }
 
-  private static Wire.Raft.AppendRequest append(RaftMessage.AppendRequest request) {
+  private static Wire.Raft.AppendRequest encodeAppendRequest(RaftMessage.AppendRequest request) {
     return Wire.Raft.AppendRequest.newBuilder()
         .setPrevIndex(request.prevLogIndex())
         .setPrevTerm(request.prevLogTerm())
--- a/burdockbay-wire/src/main/java/org/burdockbay/wire/SubmissionCodec.java
+++ b/burdockbay-wire/src/main/java/org/burdockbay/wire/SubmissionCodec.java
@@ -76,7 +76,7 @@
         request.getKeyed());
   }
 
-  static Arrival arrival(Wire.JobRequest request) throws WireException {
+  static Arrival decodeArrival(Wire.JobRequest request) throws WireException {
     try {
       return Arrival.valueOf(request.getArrival());
     } catch (IllegalArgumentException e) {
--- a/burdockbay-wire/src/main/java/org/burdockbay/wire/WorkCodec.java
+++ b/burdockbay-wire/src/main/java/org/burdockbay/wire/WorkCodec.java
@@ -127,12 +127,12 @@
         decode(step.getSize()),
         step.getEstimateMs(),
         step.getAfterList(),
-        word(step.getRequiredLabel()),
-        word(step.getNearRack()),
+        optionalText(step.getRequiredLabel()),
+        optionalText(step.getNearRack()),
         step.getMostOnOneUpstream());
   }
 
-  private static Optional<String> word(String text) {
+  private static Optional<String> optionalText(String text) {
     return text.isEmpty() ? Optional.empty() : Optional.of(text);
   }
 }
