--- a/burdockbay-server/src/main/java/org/burdockbay/server/Host.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/Host.java
@@ -21,12 +21,16 @@
 import org.burdockbay.server.http.Responder;
 import org.burdockbay.server.http.RunnerApi;
 
-/** One host, from start to planned stop. */
+/** Runs one host from its start to its planned stop. */
 @Singleton
 public final class Host {
 
+  /** Time for the load balancer to observe that the host is no longer ready. */
   private static final long READINESS_PROPAGATION_MILLIS = 500;
+
   private static final long POLL_INTERVAL_MILLIS = 50;
+
+  /** Minimum time to write responses whose requests are no longer counted as in flight. */
   private static final long MIN_WRITE_TIMEOUT_MILLIS = 1_000;
 
   private final HostParts parts;
@@ -44,9 +48,9 @@
   }
 
   /**
-   * Serves until a planned stop is asked for and done.
+   * Serves requests until a planned stop has been requested and completed.
    *
-   * @throws BurdockbayException if the host can't start
+   * @throws BurdockbayException if the host fails to start
    */
   public void serve() throws BurdockbayException {
     HostController controller = new HostController(parts, configuration);
@@ -70,7 +74,7 @@
     }
   }
 
-  /** Asks for a planned stop. */
+  /** Requests a planned stop; returns immediately. */
   public void stop() {
     drainRequested.countDown();
   }
@@ -89,17 +93,17 @@
         List.<Consumer<RoutesConfig>>of(callers::register, runners::register, operators::register));
   }
 
-  /** Leaves the balancer, hands over, and waits until nothing is in flight. */
+  /** Drains the host, and waits until no request or job is in flight or the timeout expires. */
   private void drain(HostController controller, HttpServer http) throws InterruptedException {
     controller.drain();
-    // The balancer needs a moment to see that the host isn't ready; requests until then are served.
+    // The load balancer sends requests, which are served, until it observes the lost readiness.
     Thread.sleep(READINESS_PROPAGATION_MILLIS);
-    long giveUpAt = parts.clock().millis() + parts.settings().drainTimeoutMillis();
-    while (parts.clock().millis() < giveUpAt && inFlightCount(controller) > 0) {
+    long deadline = parts.clock().millis() + parts.settings().drainTimeoutMillis();
+    while (parts.clock().millis() < deadline && inFlightCount(controller) > 0) {
       Thread.sleep(POLL_INTERVAL_MILLIS);
     }
-    // A request leaves the count when its outcome is known, before its answer is written.
-    http.stop(Math.max(MIN_WRITE_TIMEOUT_MILLIS, giveUpAt - parts.clock().millis()));
+    // A request is no longer counted once its outcome is known, before its response is written.
+    http.stop(Math.max(MIN_WRITE_TIMEOUT_MILLIS, deadline - parts.clock().millis()));
   }
 
   private int inFlightCount(HostController controller) throws InterruptedException {
--- a/burdockbay-server/src/main/java/org/burdockbay/server/LazyResources.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/LazyResources.java
@@ -7,10 +7,10 @@
 import java.util.logging.LogManager;
 
 /**
- * Loads what the runtime and the network library read from disk on first use.
+ * Loads resources that the runtime and the network library otherwise read from disk on first use.
  *
- * <p>A process calls this before it starts its threads, so that nothing is read on one thread while
- * others begin to run. A start then doesn't depend on the order in which the threads get to run.
+ * <p>A process calls this before it starts its threads, so that startup doesn't depend on the order
+ * in which the threads are scheduled.
  */
 public final class LazyResources {
 
@@ -22,7 +22,7 @@
   public static void preload() {
     LogManager.getLogManager();
     new SecureRandom().nextBytes(new byte[SEED_BYTES]);
-    // Channels that aren't registered start no event loop.
+    // Channels that aren't registered don't start an event loop.
     close(new NioServerSocketChannel());
     close(new NioSocketChannel());
   }
--- a/burdockbay-server/src/main/java/org/burdockbay/server/ServerException.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/ServerException.java
@@ -4,17 +4,17 @@
 import org.burdockbay.core.error.ErrorKind;
 import org.jspecify.annotations.Nullable;
 
-/** Root of the checked exceptions of the daemon. */
+/** Base class of the checked exceptions of the server. */
 public class ServerException extends BurdockbayException {
 
   private static final long serialVersionUID = 1L;
 
-  /** Creates an exception whose message names the culprit. */
+  /** Creates an exception with a message that names the faulty item. */
   public ServerException(String message) {
     super(ErrorKind.INTERNAL, message);
   }
 
-  /** Creates an exception with the failure that caused it. */
+  /** Creates an exception with its cause. */
   public ServerException(String message, @Nullable Throwable cause) {
     super(ErrorKind.INTERNAL, message, cause);
   }
--- a/burdockbay-server/src/main/java/org/burdockbay/server/host/AgreementDriver.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/host/AgreementDriver.java
@@ -25,7 +25,11 @@
 import org.burdockbay.wire.ControlCodec;
 import org.burdockbay.wire.WireException;
 
-/** Runs the agreement on a host with a data folder; used by the control thread only. */
+/**
+ * Runs the Raft node of a host with a data folder, and executes its effects.
+ *
+ * <p>Not thread-safe; must be used on the control thread only.
+ */
 public final class AgreementDriver {
 
   private final RaftNode node;
@@ -43,24 +47,24 @@
       Optional<Snapshot> snapshot,
       LogWriter writer,
       BiConsumer<String, RaftMessage> sender,
-      Consumer<ControlState> changed,
+      Consumer<ControlState> stateListener,
       EventLog log,
       Clock clock) {
     this.node = node;
     this.writer = writer;
     this.sender = sender;
-    this.stateListener = changed;
+    this.stateListener = stateListener;
     this.log = log;
     this.clock = clock;
     snapshot.ifPresent(this::restore);
   }
 
-  /** Starts to write to the data folder. */
+  /** Starts the writer of the data folder. */
   public void start() {
     writer.start();
   }
 
-  /** Returns the member of the group. */
+  /** Returns the Raft node. */
   public RaftNode node() {
     return node;
   }
@@ -75,19 +79,21 @@
     return !failed && node.role() == RaftRole.LEADER;
   }
 
-  /** Returns whether the storage failed, which ends this voter. */
+  /**
+   * Returns whether this voter has stopped because its storage failed or a snapshot is unreadable.
+   */
   public boolean hasFailed() {
     return failed;
   }
 
-  /** Takes a message of another voter. */
+  /** Handles a message from another member. */
   public void receive(RaftMessage message) {
     if (!failed) {
       execute(node.receive(message, clock.millis()));
     }
   }
 
-  /** Lets time pass. */
+  /** Handles due timeouts, and compacts the log if due. */
   public void tick() {
     if (!failed) {
       execute(node.tick(clock.millis()));
@@ -95,14 +101,14 @@
     }
   }
 
-  /** Sends and writes what has come up since the last call. */
+  /** Sends and writes the output that has accumulated since the last call. */
   public void flush() {
     if (!failed) {
       execute(node.flush());
     }
   }
 
-  /** Takes note that everything up to the ticket is synced. */
+  /** Handles the completion of all writes up to a ticket. */
   public void persisted(long ticket) {
     if (!failed) {
       execute(node.persisted(ticket, clock.millis()));
@@ -110,8 +116,10 @@
   }
 
   /**
-   * Ends the voter's part for good: what it promised may not be on the disk, and a sync that
-   * succeeds after one that failed proves nothing.
+   * Stops this voter permanently after a failure of its storage.
+   *
+   * <p>State that it has acknowledged may be missing on disk, and a successful sync after a failed
+   * one doesn't prove otherwise.
    */
   public void storageFailed(Exception cause) {
     failed = true;
@@ -119,7 +127,12 @@
     failPendingProposals();
   }
 
-  /** Proposes a command; the callback gets the reply once the command is committed. */
+  /**
+   * Proposes a command.
+   *
+   * @param callback receives the reply once the command is committed, or {@link
+   *     ControlReply.Unavailable} if this host doesn't lead, or stops leading or fails before that
+   */
   public void propose(ControlCommand command, Consumer<ControlReply> callback) {
     OptionalLong index =
         failed ? OptionalLong.empty() : node.propose(ControlCodec.toBytes(command), clock.millis());
@@ -130,7 +143,7 @@
     }
   }
 
-  /** Hands leadership over, if this host has it. */
+  /** Transfers leadership to another voter, if this host leads. */
   public void transferLeadership() {
     if (!failed) {
       execute(node.transferLeadership(clock.millis()));
@@ -161,7 +174,7 @@
     }
     PendingProposal pending = pendingProposals.remove(entry.index());
     if (pending != null) {
-      // Another leader's entry may have taken the place of the proposal.
+      // An entry of another leader may have replaced the proposal.
       boolean own = pending.term == entry.term();
       pending.callback.accept(own ? reply : new ControlReply.Unavailable());
     }
@@ -188,9 +201,9 @@
   }
 
   private void failPendingProposals() {
-    List<PendingProposal> lost = new ArrayList<>(pendingProposals.values());
+    List<PendingProposal> failing = new ArrayList<>(pendingProposals.values());
     pendingProposals.clear();
-    lost.forEach(pending -> pending.callback.accept(new ControlReply.Unavailable()));
+    failing.forEach(pending -> pending.callback.accept(new ControlReply.Unavailable()));
   }
 
   private void compactIfDue() {
--- a/burdockbay-server/src/main/java/org/burdockbay/server/host/AgreementStorage.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/host/AgreementStorage.java
@@ -23,7 +23,7 @@
 import org.burdockbay.server.storage.RecoveryReport;
 import org.burdockbay.server.storage.StorageException;
 
-/** Opens the data folder of a host and builds the agreement on it. */
+/** Opens the data folder of a host, and creates its Raft node from the stored log. */
 public final class AgreementStorage {
 
   private final DataFolder folder;
@@ -36,7 +36,7 @@
     this.writer = writer;
   }
 
-  /** Opens the data folder that the settings name, if they name one. */
+  /** Opens the data folder, if one is configured. */
   static Optional<AgreementStorage> open(HostParts parts, Consumer<Event> listener)
       throws StorageException {
     Optional<Path> path = parts.settings().dataFolder();
@@ -50,8 +50,8 @@
   /**
    * Opens a data folder.
    *
-   * <p>A folder with a corrupt record is set aside. What it promised can't be trusted any more, so
-   * the host starts over under a new incarnation, as a learner.
+   * <p>A folder with a corrupt record is set aside. The votes and entries that it acknowledged can
+   * no longer be trusted, so the host starts with a new folder and incarnation, as a learner.
    */
   public static AgreementStorage open(
       Path path, String cluster, String host, EventLog log, Consumer<Event> listener)
@@ -62,13 +62,13 @@
       if (e.fault() != StorageException.Fault.CORRUPT) {
         throw e;
       }
-      Path aside = DataFolder.setAside(path);
-      log.error("data-folder-corrupt", "set-aside=" + aside, e);
+      Path newPath = DataFolder.setAside(path);
+      log.error("data-folder-corrupt", "set-aside=" + newPath, e);
       return openFolder(path, cluster, host, log, listener);
     }
   }
 
-  /** Returns the incarnation of the folder. */
+  /** Returns the incarnation of the data folder. */
   public long incarnation() {
     return folder.incarnation();
   }
@@ -76,29 +76,35 @@
   AgreementDriver createDriver(
       HostParts parts,
       BiConsumer<String, RaftMessage> sender,
-      Consumer<ControlImage.ConfigurationVersion> configured) {
-    Consumer<ControlState> changed = state -> state.configuration().ifPresent(configured);
+      Consumer<ControlImage.ConfigurationVersion> listener) {
+    Consumer<ControlState> stateListener = state -> state.configuration().ifPresent(listener);
     return createDriver(
-        parts.settings().id(), parts.incarnation(), sender, changed, parts.log(), parts.clock());
+        parts.settings().id(),
+        parts.incarnation(),
+        sender,
+        stateListener,
+        parts.log(),
+        parts.clock());
   }
 
   /**
-   * Builds the agreement on the folder.
+   * Creates the driver of the Raft node whose log the folder holds.
    *
    * @param seed seed of the election timeouts
-   * @param changed told of the agreed state after each command
+   * @param stateListener notified of the agreed state after each command
    */
   public AgreementDriver createDriver(
       String host,
       long seed,
       BiConsumer<String, RaftMessage> sender,
-      Consumer<ControlState> changed,
+      Consumer<ControlState> stateListener,
       EventLog log,
       Clock clock) {
     VoterId self = new VoterId(host, folder.incarnation());
     RecoveredLog recovered = store.recoveredLog();
     RaftNode node = new RaftNode(self, recovered, RaftTiming.DEFAULT, seed, clock.millis());
-    return new AgreementDriver(node, recovered.snapshot(), writer, sender, changed, log, clock);
+    return new AgreementDriver(
+        node, recovered.snapshot(), writer, sender, stateListener, log, clock);
   }
 
   private static AgreementStorage openFolder(
@@ -155,13 +161,13 @@
     }
   }
 
-  /** What the log writer tells. */
+  /** A notification of the log writer. */
   public sealed interface Event {
 
-    /** Everything up to the ticket is synced. */
+    /** All writes up to the ticket were synced. */
     record Synced(long ticket) implements Event {}
 
-    /** Writing failed; nothing more is written. */
+    /** A write failed; nothing more is written. */
     record Failed(StorageException cause) implements Event {}
   }
 }
--- a/burdockbay-server/src/main/java/org/burdockbay/server/host/ConfigurationKeeper.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/host/ConfigurationKeeper.java
@@ -6,10 +6,10 @@
 import org.burdockbay.server.logging.EventLog;
 
 /**
- * The configuration in force on this host.
+ * Holds the configuration in force on this host.
  *
- * <p>It only moves to higher versions, so a late message or a host that returns with an old state
- * can't revert it.
+ * <p>The version in force only increases, so that neither a late message nor a host that reconnects
+ * with an old state can revert it.
  */
 public final class ConfigurationKeeper {
 
@@ -26,7 +26,7 @@
     return current;
   }
 
-  /** Puts a version in force if it is newer, and then tells the listener. */
+  /** Puts a version in force if it is newer, and then notifies the listener. */
   public void offer(long version, String text, Consumer<DispatchConfiguration> listener) {
     if (version <= current.version()) {
       return;
@@ -36,7 +36,8 @@
       log.info("configuration-in-force", "version=" + version);
       listener.accept(current);
     } catch (ConfigurationException e) {
-      // Validated before it was accepted; another release may disagree. The old one stays.
+      // Validated before it was accepted, but possibly by another release. The current version
+      // stays in force.
       log.error("configuration-unreadable", "version=" + version, e);
     }
   }
--- a/burdockbay-server/src/main/java/org/burdockbay/server/host/ControlThread.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/host/ControlThread.java
@@ -14,19 +14,19 @@
 import org.burdockbay.server.metrics.WaitMeter;
 
 /**
- * The one thread that owns all control state.
+ * The single thread that owns all control state of a host.
  *
- * <p>Other threads hand it tasks in two lanes, each of which keeps its order. A control task goes
- * before all work, so that configuration, roles and liveness don't depend on how much work there
- * is. The thread runs what waits in slices and flushes after each one, so that proposals that
- * arrive together share a message and a sync.
+ * <p>Other threads submit tasks to one of two lanes, each of which preserves the order of its
+ * tasks. Control tasks precede all work tasks, so that configuration, roles and liveness don't
+ * depend on the amount of work. The thread runs queued tasks in slices and flushes after each
+ * slice, so that proposals that arrive together share a message and a disk sync.
  */
 public final class ControlThread implements AutoCloseable {
 
   /** Time between two ticks, in milliseconds. */
   public static final long TICK_INTERVAL_MILLIS = 25;
 
-  /** Longest time for tasks before the next flush, in milliseconds; a small part of a heartbeat. */
+  /** Maximum time before the next flush, in milliseconds; a fraction of the heartbeat interval. */
   private static final long MAX_SLICE_MILLIS = 25;
 
   private final Clock clock;
@@ -41,7 +41,7 @@
   private Runnable tick = () -> {};
   private Runnable flush = () -> {};
 
-  /** Creates the thread; {@link #start} runs it. */
+  /** Creates the thread without starting it. */
   public ControlThread(Clock clock, EventLog log, MetricRegistry registry) {
     this.clock = clock;
     this.log = log;
@@ -50,34 +50,39 @@
     this.thread = Thread.ofPlatform().name("control").unstarted(this::run);
   }
 
-  /** Starts the thread with what it does at each tick and after each slice. */
-  public void start(Runnable onTick, Runnable afterSlice) {
+  /**
+   * Starts the thread.
+   *
+   * @param onTick run at every tick
+   * @param onFlush run after each slice
+   */
+  public void start(Runnable onTick, Runnable onFlush) {
     tick = onTick;
-    flush = afterSlice;
+    flush = onFlush;
     thread.start();
   }
 
-  /** Runs a control task on the thread, later; it has to be short. */
+  /** Queues a control task, which has to be short. */
   public void execute(Runnable task) {
     enqueue(Lane.CONTROL, task);
   }
 
   /**
-   * Runs a control task on the thread at its next tick or before its next queued task.
+   * Adds a control task to run at the next tick or before the next queued task.
    *
-   * <p>It doesn't wake the thread up, because in a large fleet a wake-up costs more than handling
+   * <p>This doesn't wake the thread up, because in a large fleet a wake-up costs more than handling
    * most messages.
    */
   public void executeDeferred(Runnable task) {
     deferredTasks.add(task);
   }
 
-  /** Runs a task of the work on the thread, once no control task waits. */
+  /** Queues a work task, which runs once no control task is queued. */
   public void executeWork(Runnable task) {
     enqueue(Lane.WORK, task);
   }
 
-  /** Returns the number of tasks that wait. */
+  /** Returns the number of queued tasks, without deferred ones. */
   public int backlog() {
     return queue.size();
   }
@@ -93,8 +98,8 @@
     }
   }
 
-  private void enqueue(Lane lane, Runnable body) {
-    queue.add(new Task(lane, lastSequence.incrementAndGet(), clock.millis(), body));
+  private void enqueue(Lane lane, Runnable action) {
+    queue.add(new Task(lane, lastSequence.incrementAndGet(), clock.millis(), action));
   }
 
   private void run() {
@@ -112,17 +117,17 @@
   }
 
   /**
-   * Runs the control tasks that wait, for a slice at most.
+   * Runs the queued control tasks, for at most one slice.
    *
-   * <p>A tick judges who is silent. Where this thread was late, what the others have sent is here
-   * and not handled yet; judged before it, the delay would count as theirs.
+   * <p>A tick checks which hosts are silent. After a delay of this thread, messages of other hosts
+   * may be queued; a tick before these are handled would attribute the delay to those hosts.
    */
   private void runQueuedControlTasks() {
     runDeferred();
     long end = clock.millis() + MAX_SLICE_MILLIS;
     Task first = queue.peek();
     while (first != null && first.lane == Lane.CONTROL && clock.millis() < end) {
-      // No other thread takes tasks, and one added meanwhile that goes first is of control too.
+      // Only this thread removes tasks, and a task that overtakes this one is a control task, too.
       runTask(queue.remove());
       first = queue.peek();
     }
@@ -156,12 +161,12 @@
   private void runTask(Task task) {
     runDeferred();
     long now = clock.millis();
-    WaitMeter waits = task.lane == Lane.CONTROL ? controlWaitMeter : workWaitMeter;
-    waits.recordWait(now - task.queuedAt, queue.size(), now);
+    WaitMeter waitMeter = task.lane == Lane.CONTROL ? controlWaitMeter : workWaitMeter;
+    waitMeter.recordWait(now - task.queuedAt, queue.size(), now);
     runSafely(task.action);
   }
 
-  /** Runs a task; a defect in one event must not end the host's whole control. */
+  /** Runs a task, and logs its failure so that a defect in one task can't end the thread. */
   private void runSafely(Runnable task) {
     try {
       task.run();
@@ -170,7 +175,7 @@
     }
   }
 
-  /** The lanes, the first one first. */
+  /** The lanes, in order of precedence. */
   private enum Lane {
     CONTROL,
     WORK
--- a/burdockbay-server/src/main/java/org/burdockbay/server/host/DispatchDriver.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/host/DispatchDriver.java
@@ -13,7 +13,7 @@
 import org.burdockbay.core.message.PeerMessage;
 import org.burdockbay.server.runner.RunnerListener;
 
-/** Runs the {@link Dispatcher} on the control thread and carries out its effects. */
+/** Runs the {@link Dispatcher} on the control thread, and executes its effects. */
 final class DispatchDriver {
 
   private final HostParts parts;
@@ -23,19 +23,25 @@
   private final RunnerListener listener;
   private final LongConsumer onSuperseded;
 
+  /**
+   * Creates a driver.
+   *
+   * @param listener notified of the results of calls to runners
+   * @param onSuperseded receives the epoch that superseded the epoch of the dispatcher
+   */
   DispatchDriver(
       HostParts parts,
       Dispatcher dispatcher,
       ProposalClient proposals,
       PeerSender sender,
       RunnerListener listener,
-      LongConsumer outranked) {
+      LongConsumer onSuperseded) {
     this.parts = parts;
     this.dispatcher = dispatcher;
     this.proposals = proposals;
     this.sender = sender;
     this.listener = listener;
-    this.onSuperseded = outranked;
+    this.onSuperseded = onSuperseded;
   }
 
   Dispatcher dispatcher() {
@@ -50,7 +56,7 @@
   private void execute(DispatchEffect effect) {
     switch (effect) {
       case DispatchEffect.StartAttempt start -> parts.runners().start(start, listener);
-      case DispatchEffect.QueryAttempt ask -> parts.runners().query(ask, listener);
+      case DispatchEffect.QueryAttempt query -> parts.runners().query(query, listener);
       case DispatchEffect.CancelAttempts cancel -> parts.runners().cancel(cancel);
       case DispatchEffect.FenceRunner fence ->
           parts.runners().fence(fence, parts.settings().domain(), listener);
@@ -65,9 +71,9 @@
           sender.send(returned.host(), new PeerMessage.ReturnJob(returned.key()));
       case DispatchEffect.ProposeLedger propose -> propose(propose.request());
       case DispatchEffect.StepDown stepDown -> onSuperseded.accept(stepDown.higherEpoch());
-      case DispatchEffect.LogEvent note -> {
-        parts.metrics().countEvent(note.event());
-        parts.log().info(note.event(), note.fields());
+      case DispatchEffect.LogEvent logEvent -> {
+        parts.metrics().countEvent(logEvent.event());
+        parts.log().info(logEvent.event(), logEvent.fields());
       }
     }
   }
--- a/burdockbay-server/src/main/java/org/burdockbay/server/host/EntryDriver.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/host/EntryDriver.java
@@ -11,7 +11,7 @@
 import org.burdockbay.core.message.PeerMessage;
 import org.burdockbay.core.submission.JobOutcome;
 
-/** Runs the {@link EntryGateway} on the control thread and completes the waiting requests. */
+/** Runs the {@link EntryGateway} on the control thread, and completes the pending requests. */
 final class EntryDriver {
 
   private final HostParts parts;
@@ -26,7 +26,12 @@
     this.sender = sender;
   }
 
-  /** Hands an event with a new ticket to the gateway; the answer completes the future. */
+  /**
+   * Assigns a ticket to a request and passes it to the gateway.
+   *
+   * @param event creates the event of the request from its ticket
+   * @param answer completed with the outcome
+   */
   void handleRequest(LongFunction<EntryEvent> event, CompletableFuture<JobOutcome> answer) {
     long ticket = ++lastTicket;
     pendingRequests.put(ticket, answer);
@@ -38,6 +43,7 @@
     effects.forEach(this::execute);
   }
 
+  /** Returns the number of requests that wait for an outcome. */
   int waitingRequests() {
     return pendingRequests.size();
   }
@@ -53,7 +59,7 @@
       case EntryEffect.Answer answer -> {
         CompletableFuture<JobOutcome> waiting = pendingRequests.remove(answer.ticket());
         if (waiting != null) {
-          // Completed on a traffic thread, so that writing answers doesn't hold up control.
+          // Asynchronously, so that writing responses doesn't hold up the control thread.
           waiting.completeAsync(answer::outcome);
         }
       }
--- a/burdockbay-server/src/main/java/org/burdockbay/server/host/HostController.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/host/HostController.java
@@ -38,10 +38,10 @@
 import org.burdockbay.server.transport.PeerListener;
 
 /**
- * Connects the parts of the core on the control thread with each other, with the other hosts and
- * with the runners.
+ * Connects the components of the core, which run on the control thread, with each other, with the
+ * other hosts and with the runners.
  *
- * <p>Public methods are for any thread; they hand over to the control thread.
+ * <p>Public methods may be called on any thread; they pass their work to the control thread.
  */
 public final class HostController implements PeerListener, RunnerListener, AutoCloseable {
 
@@ -66,9 +66,9 @@
   private long nextFetchAt;
 
   /**
-   * Creates the parts of the host.
+   * Creates the components of the host.
    *
-   * @throws StateChartException if the job chart can't be read
+   * @throws StateChartException if the statechart of jobs can't be read
    * @throws ServerException if the data folder can't be used
    */
   public HostController(HostParts parts, ConfigurationKeeper configuration)
@@ -98,7 +98,7 @@
   }
 
   /**
-   * Starts transport and control.
+   * Starts the transport and the control thread.
    *
    * @throws ServerException if the peer address is in use
    */
@@ -109,27 +109,32 @@
     parts.thread().start(this::tick, this::flush);
   }
 
-  /** Submits a job; the future gets its final answer. */
-  public CompletableFuture<JobOutcome> submit(JobRequest request, boolean guarded) {
-    return request(ticket -> new EntryEvent.Submitted(ticket, request, guarded));
+  /**
+   * Submits a job.
+   *
+   * @param atMostOnce whether the job must run at most once
+   * @return a future that completes with the final outcome
+   */
+  public CompletableFuture<JobOutcome> submit(JobRequest request, boolean atMostOnce) {
+    return request(ticket -> new EntryEvent.Submitted(ticket, request, atMostOnce));
   }
 
-  /** Asks for the outcome of a submission, for at most the given time in milliseconds. */
+  /** Waits for the outcome of a submission, for at most the given time in milliseconds. */
   public CompletableFuture<JobOutcome> follow(SubmissionKey key, long waitMillis) {
     return request(ticket -> new EntryEvent.Followed(ticket, key, waitMillis));
   }
 
-  /** Cancels a submission and asks for its outcome. */
+  /** Cancels a submission, and waits for its outcome for at most the given time. */
   public CompletableFuture<JobOutcome> cancel(SubmissionKey key, long waitMillis) {
     return request(ticket -> new EntryEvent.Cancelled(ticket, key, waitMillis));
   }
 
-  /** Takes a runner's announcement. */
+  /** Handles an announcement of a runner. */
   public void runnerAnnounced(RunnerAnnouncement announcement) {
     executeControl(() -> dispatchDriver.handle(new DispatchEvent.RunnerAnnounced(announcement)));
   }
 
-  /** Proposes a configuration. */
+  /** Proposes a configuration; the future completes with the reply of the voters. */
   public CompletableFuture<ControlReply> applyConfiguration(
       ControlCommand.ApplyConfiguration command) {
     CompletableFuture<ControlReply> reply = new CompletableFuture<>();
@@ -137,17 +142,17 @@
     return reply;
   }
 
-  /** Returns a report on this host. */
+  /** Returns a report on the state of this host. */
   public CompletableFuture<HostReport> report() {
     return query(this::buildReport);
   }
 
-  /** Returns the versions of the configuration that are kept here; empty without a data folder. */
+  /** Returns the configuration versions retained on this host; empty without a data folder. */
   public CompletableFuture<List<ControlImage.ConfigurationVersion>> configurationHistory() {
     return query(() -> agreement.map(driver -> driver.state().history()).orElse(List.of()));
   }
 
-  /** Begins a planned stop; the host goes on until nothing is in flight. */
+  /** Begins a planned stop; the host continues to serve the requests in flight. */
   public void drain() {
     executeControl(
         () -> {
@@ -158,7 +163,7 @@
         });
   }
 
-  /** Returns the number of requests and jobs that are in flight here. */
+  /** Returns the number of requests and jobs in flight on this host. */
   public CompletableFuture<Integer> inFlightCount() {
     return query(
         () -> {
@@ -168,12 +173,12 @@
         });
   }
 
-  /** Returns the epoch under which this host dispatches, or 0; safe on any thread. */
+  /** Returns the state of the dispatcher role on this host. */
   public DispatcherView dispatcherView() {
     return dispatcherView;
   }
 
-  /** Returns the configuration in force; safe on any thread. */
+  /** Returns the configuration in force on this host. */
   public DispatchConfiguration configuration() {
     return configuration.current();
   }
@@ -224,14 +229,14 @@
     return answer;
   }
 
-  private <T> CompletableFuture<T> query(Supplier<T> question) {
-    CompletableFuture<T> answer = new CompletableFuture<>();
+  private <T> CompletableFuture<T> query(Supplier<T> supplier) {
+    CompletableFuture<T> result = new CompletableFuture<>();
     executeControl(
         () -> {
-          T value = question.get();
-          answer.completeAsync(() -> value);
+          T value = supplier.get();
+          result.completeAsync(() -> value);
         });
-    return answer;
+    return result;
   }
 
   private void executeControl(Runnable task) {
@@ -293,7 +298,7 @@
     }
   }
 
-  /** Notes a message of hosts that serve leased upstreams; this kind of host has no use for it. */
+  /** Logs a message that only concerns hosts that serve leased upstreams. */
   private void logIgnored(String host, PeerMessage message) {
     parts
         .log()
@@ -335,7 +340,7 @@
         case MembershipEffect.RoutesChanged routes ->
             entryDriver.handle(new EntryEvent.RoutesChanged(routes.view()));
         case MembershipEffect.LayoutChanged changed -> {
-          // Hosts of a fixed list never divide the fleet.
+          // Hosts with a fixed list of peers don't divide the fleet into shards.
         }
         case MembershipEffect.HostLost lost -> parts.log().warn("host-lost", "lost=" + lost.host());
         case MembershipEffect.HostFound found ->
@@ -463,6 +468,11 @@
         parts.thread().backlog());
   }
 
-  /** What other threads see of the dispatcher role. */
+  /**
+   * The state of the dispatcher role, for use on other threads.
+   *
+   * @param epoch epoch under which this host dispatches, or 0 if it doesn't
+   * @param draining whether a planned stop has begun
+   */
   public record DispatcherView(long epoch, boolean draining) {}
 }
--- a/burdockbay-server/src/main/java/org/burdockbay/server/host/HostParts.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/host/HostParts.java
@@ -8,14 +8,14 @@
 import org.burdockbay.server.transport.PeerTransport;
 
 /**
- * What the parts of one host share.
+ * The components that the parts of a host share.
  *
- * @param settings the settings
- * @param incarnation number of this run of the process
- * @param clock the clock
- * @param log the log
- * @param metrics the metrics
- * @param transport connections to other hosts
+ * @param settings settings of the host
+ * @param incarnation incarnation of the process of the host
+ * @param clock the monotonic clock
+ * @param log the event log
+ * @param metrics counters and histograms
+ * @param transport transport of messages between hosts
  * @param runners calls to runners
  * @param thread the control thread
  */
--- a/burdockbay-server/src/main/java/org/burdockbay/server/host/HostReport.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/host/HostReport.java
@@ -8,14 +8,14 @@
 import org.burdockbay.core.membership.HostStatus;
 
 /**
- * The state of a host for operators.
+ * The state of a host, as reported to operators.
  *
- * @param self what the host tells of itself
- * @param live what other live hosts told of themselves
- * @param dispatch figures of its dispatcher
- * @param agreement figures of the agreement, on a host with a data folder
- * @param waitingRequests requests of callers that wait here
- * @param controlBacklog tasks that wait for the control thread
+ * @param self status of the host
+ * @param live last status received from each other live host
+ * @param dispatch state of its dispatcher
+ * @param agreement state of its Raft node, on a host with a data folder
+ * @param waitingRequests number of requests of callers that wait for an outcome
+ * @param controlBacklog number of tasks queued for the control thread
  */
 public record HostReport(
     HostStatus self,
@@ -25,7 +25,14 @@
     int waitingRequests,
     int controlBacklog) {
 
-  /** Figures of the agreement. */
+  /**
+   * The state of a Raft node.
+   *
+   * @param role name of its role
+   * @param leader id of the leader, or empty if unknown
+   * @param ledgerRecords number of records in the ledger
+   * @param storageFailed whether the voter has stopped after a failure of its storage
+   */
   public record AgreementReport(
       String role,
       long term,
--- a/burdockbay-server/src/main/java/org/burdockbay/server/host/ProposalClient.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/host/ProposalClient.java
@@ -13,10 +13,10 @@
 import org.burdockbay.core.message.PeerMessage;
 
 /**
- * Brings commands to the leader of the agreement and repeats them while there is time.
+ * Sends commands to the leader of the Raft group, and resends them until a reply or a timeout.
  *
- * <p>Repeating is safe because each command carries what makes it idempotent: the change id of a
- * configuration, the version of a catalog, the epoch and key of a ledger request.
+ * <p>Resending is safe because each command is idempotent by its content: the change id of a
+ * configuration, the version of a catalog, or the epoch and key of a ledger request.
  */
 public final class ProposalClient {
 
@@ -34,21 +34,25 @@
   /**
    * Creates a client.
    *
-   * @param driver the agreement of this host, if it takes part
-   * @param leader the host that leads, as far as known
+   * @param agreement the Raft node of this host, if it has one
+   * @param leader returns the id of the leading host, if known
    */
   public ProposalClient(
       Clock clock,
-      Optional<AgreementDriver> driver,
+      Optional<AgreementDriver> agreement,
       Supplier<Optional<String>> leader,
       PeerSender sender) {
     this.clock = clock;
-    this.agreement = driver;
+    this.agreement = agreement;
     this.leader = leader;
     this.sender = sender;
   }
 
-  /** Proposes a command; the callback gets the reply, or {@link ControlReply.Unavailable}. */
+  /**
+   * Proposes a command.
+   *
+   * @param callback receives the reply, or {@link ControlReply.Unavailable} after a timeout
+   */
   public void propose(ControlCommand command, Consumer<ControlReply> callback) {
     long id = ++lastRequestId;
     Proposal proposal = new Proposal(command, callback, clock.millis() + PROPOSAL_TIMEOUT_MILLIS);
@@ -56,9 +60,9 @@
     send(id, proposal);
   }
 
-  /** Handles the answer to a proposal of this host. */
-  public void handleReply(long id, ControlReply reply) {
-    Proposal proposal = proposals.get(id);
+  /** Handles the reply to a proposal of this host. */
+  public void handleReply(long requestId, ControlReply reply) {
+    Proposal proposal = proposals.get(requestId);
     if (proposal == null) {
       return;
     }
@@ -66,11 +70,11 @@
       proposal.nextSendAt = clock.millis() + RETRY_INTERVAL_MILLIS;
       return;
     }
-    proposals.remove(id);
+    proposals.remove(requestId);
     proposal.callback.accept(reply);
   }
 
-  /** Repeats and gives up what is due. */
+  /** Resends the proposals whose reply is overdue, and fails the expired ones. */
   public void tick() {
     long now = clock.millis();
     List<Long> due = new ArrayList<>();
@@ -112,10 +116,10 @@
     private final long expiresAt;
     private long nextSendAt;
 
-    Proposal(ControlCommand command, Consumer<ControlReply> callback, long giveUpAt) {
+    Proposal(ControlCommand command, Consumer<ControlReply> callback, long expiresAt) {
       this.command = command;
       this.callback = callback;
-      this.expiresAt = giveUpAt;
+      this.expiresAt = expiresAt;
     }
   }
 }
--- a/burdockbay-server/src/main/java/org/burdockbay/server/host/VoterKeeper.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/host/VoterKeeper.java
@@ -10,15 +10,16 @@
 import org.burdockbay.server.logging.EventLog;
 
 /**
- * At the leader, brings the members in line with the hosts that have a data folder, one change at a
- * time.
+ * Reconciles the members of the Raft group with the hosts that have a data folder, one change at a
+ * time; runs on the leader.
  *
- * <p>A host that comes back with another incarnation has lost its disk. Its old voter leaves first;
- * the new one enters as a learner and counts only once it holds, synced, all that is committed.
- * Otherwise a second loss right after the repair could lose what only the wiped disk had.
+ * <p>A host that returns with another storage incarnation has lost its disk. Its old voter is
+ * removed first; the new member is added as a learner and becomes a voter only once it has synced
+ * all committed entries. Otherwise a second loss shortly afterwards could lose entries that only
+ * the wiped disk held.
  *
- * <p>A host beyond the wanted number stays a learner until a voter is lost. It then takes the place
- * of that voter: it counts first, and the lost one leaves after that.
+ * <p>A host beyond the target number of voters stays a learner until a voter is lost. It then
+ * becomes a voter first, and the lost voter is removed afterwards.
  */
 public final class VoterKeeper {
 
@@ -29,20 +30,20 @@
   /**
    * Creates a keeper.
    *
-   * @param wanted how many voters there should be
-   * @param lost whether the host with the given id has been silent for so long that it may be
-   *     replaced
+   * @param targetVoterCount target number of voters
+   * @param isReplaceable whether the voter on the host with the given id may be replaced because of
+   *     the silence of the host
    */
-  public VoterKeeper(int wanted, Predicate<String> lost, EventLog log) {
-    this.targetVoterCount = wanted;
-    this.isReplaceable = lost;
+  public VoterKeeper(int targetVoterCount, Predicate<String> isReplaceable, EventLog log) {
+    this.targetVoterCount = targetVoterCount;
+    this.isReplaceable = isReplaceable;
     this.log = log;
   }
 
   /**
-   * Proposes the next change, if one is due.
+   * Proposes the next membership change, if one is due.
    *
-   * @param hosts the live hosts
+   * @param hosts statuses of the live hosts
    */
   public void reconcile(RaftNode node, List<HostStatus> hosts, long now) {
     Optional<VoterSet> next = withoutSurplusVoter(node.voters());
@@ -68,30 +69,30 @@
     return members.voters().stream().filter(voter -> isReplaceable.test(voter.host())).findFirst();
   }
 
-  private Optional<VoterSet> nextMembers(RaftNode node, VoterId present) {
+  private Optional<VoterSet> nextMembers(RaftNode node, VoterId candidate) {
     VoterSet members = node.voters();
-    if (members.isVoter(present)) {
+    if (members.isVoter(candidate)) {
       return Optional.empty();
     }
-    Optional<VoterId> old = members.voterOn(present.host());
-    if (old.isPresent()) {
-      return Optional.of(members.without(old.get()));
+    Optional<VoterId> previous = members.voterOn(candidate.host());
+    if (previous.isPresent()) {
+      return Optional.of(members.without(previous.get()));
     }
     Optional<VoterId> staleLearner =
         members.learners().stream()
-            .filter(learner -> learner.host().equals(present.host()))
-            .filter(learner -> !learner.equals(present))
+            .filter(learner -> learner.host().equals(candidate.host()))
+            .filter(learner -> !learner.equals(candidate))
             .findFirst();
     if (staleLearner.isPresent()) {
       return Optional.of(members.without(staleLearner.get()));
     }
-    if (!members.learners().contains(present)) {
-      return Optional.of(members.withLearner(present));
+    if (!members.learners().contains(candidate)) {
+      return Optional.of(members.withLearner(candidate));
     }
     boolean needed =
         members.voters().size() < targetVoterCount || findReplaceableVoter(members).isPresent();
-    return needed && node.isCaughtUp(present)
-        ? Optional.of(members.withVoter(present))
+    return needed && node.isCaughtUp(candidate)
+        ? Optional.of(members.withVoter(candidate))
         : Optional.empty();
   }
 }
--- a/burdockbay-server/src/main/java/org/burdockbay/server/host/package-info.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/host/package-info.java
@@ -1,5 +1,5 @@
 /**
- * One host: the control thread that owns all control state, and the parts of the core that run on
- * it.
+ * A host: the control thread, which owns all control state, and the components of the core that run
+ * on it.
  */
 package org.burdockbay.server.host;
--- a/burdockbay-server/src/main/java/org/burdockbay/server/node/CatalogKeeper.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/node/CatalogKeeper.java
@@ -15,10 +15,10 @@
 /**
  * Holds the catalog in force on this host and exchanges catalogs with other hosts.
  *
- * <p>It only moves to higher versions, so a late message or a host that returns with an old state
- * can't revert it. Catalogs are decoded on a background thread, because decoding a large one can
- * exceed the heartbeat interval on a slow processor. Unless stated otherwise, methods must be
- * called on the control thread.
+ * <p>The version in force only increases, so that neither a late message nor a host that reconnects
+ * with an old state can revert it. Catalogs are decoded on a background thread, because decoding a
+ * large one can exceed the heartbeat interval on a slow processor. Unless stated otherwise, methods
+ * must be called on the control thread.
  */
 final class CatalogKeeper {
 
@@ -38,14 +38,16 @@
   /** Highest version submitted for decoding. */
   private long submittedVersion;
 
+  /** When another host first announced a version newer than the one in force. */
   private OptionalLong newerAnnouncedAt = OptionalLong.empty();
+
   private long retryAt = Long.MIN_VALUE;
 
   /**
    * Creates a keeper without a catalog.
    *
    * @param background decodes catalogs
-   * @param control runs tasks on the control thread
+   * @param control executes tasks on the control thread
    * @param onInForce called on the control thread after a version has come into force
    */
   CatalogKeeper(
@@ -108,21 +110,22 @@
   }
 
   /** Schedules a catalog for decoding, after which it is put in force, if it is newer. */
-  void offer(CompressedCatalog packed, String origin) {
-    if (packed.version() <= submittedVersion) {
+  void offer(CompressedCatalog compressed, String origin) {
+    if (compressed.version() <= submittedVersion) {
       return;
     }
-    submittedVersion = packed.version();
-    background.execute(() -> decode(packed, origin));
+    submittedVersion = compressed.version();
+    background.execute(() -> decode(compressed, origin));
   }
 
-  private void decode(CompressedCatalog packed, String origin) {
+  private void decode(CompressedCatalog compressed, String origin) {
     try {
-      Catalog decoded = reader.read(packed.text());
-      control.execute(() -> putInForce(decoded, packed, origin));
+      Catalog decoded = reader.read(compressed.text());
+      control.execute(() -> putInForce(decoded, compressed, origin));
     } catch (CatalogException e) {
-      // Checked before it was accepted; another release may disagree. The old one stays in force.
-      log.error("catalog-unreadable", "version=" + packed.version(), e);
+      // Validated before it was accepted, but possibly by another release. The current catalog
+      // stays in force.
+      log.error("catalog-unreadable", "version=" + compressed.version(), e);
       control.execute(this::scheduleRetry);
     }
   }
@@ -132,15 +135,15 @@
     retryAt = clock.millis() + RETRY_INTERVAL_MILLIS;
   }
 
-  private void putInForce(Catalog decoded, CompressedCatalog packed, String origin) {
-    if (packed.version() <= current.version()) {
+  private void putInForce(Catalog decoded, CompressedCatalog compressed, String origin) {
+    if (compressed.version() <= current.version()) {
       return;
     }
     long now = clock.millis();
     log.info(
         "catalog-in-force",
         "version="
-            + packed.version()
+            + compressed.version()
             + " before="
             + current.version()
             + " source="
@@ -148,10 +151,10 @@
             + " heard-ago="
             + (now - newerAnnouncedAt.orElse(now))
             + " bytes="
-            + packed.data().size());
+            + compressed.data().size());
     newerAnnouncedAt = OptionalLong.empty();
     current = decoded;
-    source.add(packed);
+    source.add(compressed);
     onInForce.run();
   }
 }
--- a/burdockbay-server/src/main/java/org/burdockbay/server/node/ClusterBootstrap.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/node/ClusterBootstrap.java
@@ -15,19 +15,25 @@
 import org.burdockbay.server.storage.StorageException;
 
 /**
- * Creates the data folders with which a new system starts.
+ * Creates the data folders of the initial voters of a new cluster.
  *
- * <p>All seeds are told the same seeds, so each writes the same first members. Every other host
- * with a disk, and every host that comes back with an empty one later, waits to be admitted.
+ * <p>All seeds are configured with the same list of seeds, so each writes the same initial voters.
+ * Every other host with a disk, and every host that later returns with an empty disk, waits to be
+ * added.
  */
 final class ClusterBootstrap {
 
   private ClusterBootstrap() {}
 
+  /**
+   * Creates the data folder of this host if it is a seed, the cluster starts for the first time and
+   * the folder doesn't exist yet.
+   */
   static void createDataFolderIfNeeded(NodeSettings settings) throws StorageException {
     Path path = settings.dataFolder().orElseThrow();
-    boolean seed = settings.seeds().stream().map(HostAddress::ip).anyMatch(settings.host()::equals);
-    if (!settings.firstStart() || !seed || Files.exists(path.resolve("identity"))) {
+    boolean isSeed =
+        settings.seeds().stream().map(HostAddress::ip).anyMatch(settings.host()::equals);
+    if (!settings.firstStart() || !isSeed || Files.exists(path.resolve("identity"))) {
       return;
     }
     List<VoterId> voters =
@@ -36,7 +42,7 @@
             .sorted()
             .map(ip -> new VoterId(ip, DataFolder.BOOTSTRAP_INCARNATION))
             .toList();
-    RecoveredLog first = RecoveredLog.bootstrap(voters);
+    RecoveredLog bootstrapLog = RecoveredLog.bootstrap(voters);
     try (DataFolder folder = DataFolder.bootstrap(path, settings.cluster(), settings.host());
         LogStore store =
             new LogStore(folder.groupFolder(GroupId.CONTROL.number()), GroupId.CONTROL)) {
@@ -44,10 +50,10 @@
           List.of(
               new RaftEffect.Persist(
                   1,
-                  Optional.of(first.hardState()),
+                  Optional.of(bootstrapLog.hardState()),
                   Optional.empty(),
                   OptionalLong.empty(),
-                  first.entries())));
+                  bootstrapLog.entries())));
     }
   }
 }
--- a/burdockbay-server/src/main/java/org/burdockbay/server/node/EpochKeeper.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/node/EpochKeeper.java
@@ -9,11 +9,11 @@
 import org.burdockbay.server.storage.StorageException;
 
 /**
- * Keeps the highest epoch of a dispatcher and the largest layout on disk, on hosts that have one.
+ * Persists the highest dispatcher epoch and the largest layout on hosts that have a disk.
  *
- * <p>Nothing waits for it: an epoch that didn't reach the disk costs the next dispatcher a few
- * refusals at most, and a layout is found again from the upstreams. The disk may stall, so the
- * control thread never writes by itself.
+ * <p>Writes are asynchronous, because the disk may block and must not hold up the control thread. A
+ * lost write is tolerable: a missing epoch causes at most a few refusals of the next dispatcher,
+ * and the layout is derived again from the upstreams.
  */
 final class EpochKeeper {
 
@@ -28,7 +28,7 @@
     this.log = log;
   }
 
-  /** Returns what an earlier life of this host has saved. */
+  /** Returns the content saved by earlier incarnations of this host. */
   EpochFile.Content load() {
     if (file.isPresent()) {
       try {
@@ -40,7 +40,7 @@
     return saved;
   }
 
-  /** Saves epoch and layout in the background, if one of them is larger than before. */
+  /** Saves epoch and layout in the background, if either is larger than the saved one. */
   void save(long epoch, ShardLayout layout) {
     EpochFile.Content content =
         new EpochFile.Content(Math.max(epoch, saved.epoch()), saved.layout().larger(layout));
--- a/burdockbay-server/src/main/java/org/burdockbay/server/node/HeartbeatSchedule.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/node/HeartbeatSchedule.java
@@ -8,15 +8,15 @@
  *
  * <p>The live host with the lowest id is the timing reference: the other hosts send their
  * heartbeats when its heartbeat arrives. The heartbeats of all hosts thus arrive at a host
- * together, which takes fewer wake-ups than heartbeats spread over the period. A host that doesn't
- * receive the reference heartbeat in time sends its own after a timeout.
+ * together, which takes fewer wake-ups than heartbeats spread over the interval. A host that
+ * doesn't receive the reference heartbeat in time sends its own after a timeout.
  */
 final class HeartbeatSchedule {
 
   /** Time between two heartbeats, in milliseconds. */
   static final long INTERVAL_MILLIS = 150;
 
-  /** Time beyond the period to wait for the reference host's heartbeat, in milliseconds. */
+  /** Time beyond the interval to wait for the reference host's heartbeat, in milliseconds. */
   static final long GRACE_MILLIS = 25;
 
   /** Minimum time between a heartbeat and one triggered by the reference host, in milliseconds. */
--- a/burdockbay-server/src/main/java/org/burdockbay/server/node/HostDirectory.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/node/HostDirectory.java
@@ -8,14 +8,14 @@
 import org.burdockbay.core.membership.HostDescriptor;
 
 /**
- * The other hosts that this one has heard of, directly or from others.
+ * Holds the other hosts that this host has discovered, directly or through gossip.
  *
- * <p>A host that nobody hears for {@link #SILENCE_TIMEOUT_MILLIS} is forgotten, since its address
- * may belong to another machine by then. Seeds stay.
+ * <p>A host from which this one has received no message for {@link #SILENCE_TIMEOUT_MILLIS} is
+ * removed, since its address may have been assigned to another machine.
  */
 final class HostDirectory {
 
-  /** Silence after which a host is forgotten, in milliseconds; longer than a power loss lasts. */
+  /** Silence after which a host is removed, in milliseconds; longer than a power loss. */
   static final long SILENCE_TIMEOUT_MILLIS = 60_000;
 
   private final HostDescriptor self;
@@ -25,66 +25,72 @@
     this.self = self;
   }
 
-  /** Adds a host, and returns whether it is new or has changed. */
-  boolean add(HostDescriptor card, long now) {
-    if (card.id().equals(self.id())) {
+  /** Adds or updates a host, and returns whether it is new or has changed. */
+  boolean add(HostDescriptor descriptor, long now) {
+    if (descriptor.id().equals(self.id())) {
       return false;
     }
-    Entry known = hosts.get(card.id());
-    if (known != null && known.descriptor.equals(card)) {
+    Entry entry = hosts.get(descriptor.id());
+    if (entry != null && entry.descriptor.equals(descriptor)) {
       return false;
     }
-    Entry added = new Entry(card, now);
-    if (known != null) {
-      added.lastContactAt = known.lastContactAt;
-      added.contacted = known.contacted;
+    Entry added = new Entry(descriptor, now);
+    if (entry != null) {
+      added.lastContactAt = entry.lastContactAt;
+      added.contacted = entry.contacted;
     }
-    hosts.put(card.id(), added);
+    hosts.put(descriptor.id(), added);
     return true;
   }
 
+  /** Records that a message from a host has arrived. */
   void recordContact(String host, long now) {
-    Entry known = hosts.get(host);
-    if (known != null) {
-      known.lastContactAt = now;
-      known.contacted = true;
+    Entry entry = hosts.get(host);
+    if (entry != null) {
+      entry.lastContactAt = now;
+      entry.contacted = true;
     }
   }
 
-  /** Returns how long ago a host was heard, in milliseconds; empty if it never was. */
+  /**
+   * Returns the time since the last message from a host, in milliseconds; empty if none arrived.
+   */
   Optional<Long> lastContactAgeMillis(String host, long now) {
     return Optional.ofNullable(hosts.get(host))
-        .filter(known -> known.contacted)
-        .map(known -> now - known.lastContactAt);
+        .filter(entry -> entry.contacted)
+        .map(entry -> now - entry.lastContactAt);
   }
 
-  /** Returns for how long a host has been silent, in milliseconds; empty if it is unknown. */
+  /**
+   * Returns the time since the last message from a host, or since it was added if none has arrived,
+   * in milliseconds; empty if the host is unknown.
+   */
   Optional<Long> silenceMillis(String host, long now) {
-    return Optional.ofNullable(hosts.get(host)).map(known -> now - known.lastContactAt);
+    return Optional.ofNullable(hosts.get(host)).map(entry -> now - entry.lastContactAt);
   }
 
-  /** Forgets hosts that are silent for long, and returns them. */
+  /** Removes the hosts whose silence exceeds the timeout, and returns them. */
   List<HostDescriptor> removeSilentHosts(long now) {
-    List<HostDescriptor> forgotten = new ArrayList<>();
+    List<HostDescriptor> removed = new ArrayList<>();
     hosts
         .values()
         .removeIf(
-            known -> {
-              boolean silent = now - known.lastContactAt > SILENCE_TIMEOUT_MILLIS;
+            entry -> {
+              boolean silent = now - entry.lastContactAt > SILENCE_TIMEOUT_MILLIS;
               if (silent) {
-                forgotten.add(known.descriptor);
+                removed.add(entry.descriptor);
               }
               return silent;
             });
-    return forgotten;
+    return removed;
   }
 
-  /** Returns this host and the others. */
+  /** Returns the descriptors of this host, which comes first, and of the other hosts. */
   List<HostDescriptor> descriptors() {
-    List<HostDescriptor> cards = new ArrayList<>();
-    cards.add(self);
-    hosts.values().forEach(known -> cards.add(known.descriptor));
-    return cards;
+    List<HostDescriptor> descriptors = new ArrayList<>();
+    descriptors.add(self);
+    hosts.values().forEach(entry -> descriptors.add(entry.descriptor));
+    return descriptors;
   }
 
   /** Returns the number of other hosts. */
@@ -103,9 +109,9 @@
     private long lastContactAt;
     private boolean contacted;
 
-    Entry(HostDescriptor card, long heardAt) {
-      this.descriptor = card;
-      this.lastContactAt = heardAt;
+    Entry(HostDescriptor descriptor, long lastContactAt) {
+      this.descriptor = descriptor;
+      this.lastContactAt = lastContactAt;
     }
   }
 }
--- a/burdockbay-server/src/main/java/org/burdockbay/server/node/HostGossip.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/node/HostGossip.java
@@ -8,11 +8,11 @@
 import org.burdockbay.server.host.PeerSender;
 
 /**
- * Tells other hosts which hosts there are.
+ * Distributes the descriptors of hosts to other hosts.
  *
- * <p>A host announces itself on each new connection, and passes on the cards that other hosts send
- * of themselves. The size of the whole list grows with the number of hosts, so only a few hosts
- * send it to a restarted host. Apart from that, every host sends it at long intervals, to one
+ * <p>A host announces itself on each new connection, and relays the descriptors that other hosts
+ * send of themselves. The size of the whole list grows with the number of hosts, so only a few
+ * hosts send it to a restarted host. In addition, every host sends it at long intervals, to one
  * receiver at a time.
  */
 final class HostGossip {
@@ -33,27 +33,29 @@
   /**
    * Announces this host on a new connection.
    *
-   * @param wholeList whether to send the cards of all known hosts
+   * @param wholeList whether to send the descriptors of all known hosts
    */
   void connected(String host, boolean wholeList) {
-    List<HostDescriptor> cards = directory.descriptors();
-    sender.send(host, new PeerMessage.KnownHosts(wholeList ? cards : List.of(cards.getFirst())));
+    List<HostDescriptor> descriptors = directory.descriptors();
+    sender.send(
+        host,
+        new PeerMessage.KnownHosts(wholeList ? descriptors : List.of(descriptors.getFirst())));
   }
 
   /**
-   * Passes on the card of a host that is new or has changed.
+   * Relays the descriptor of a host that is new or has changed.
    *
-   * <p>A card that was not received from its own host is not passed on: the host that received it
-   * first-hand does that.
+   * <p>A descriptor received from a third host isn't relayed: the host that received it directly
+   * does so.
    */
-  void hostDiscovered(HostDescriptor card, String from) {
-    if (card.id().equals(from)) {
-      PeerMessage message = new PeerMessage.KnownHosts(List.of(card));
+  void hostDiscovered(HostDescriptor descriptor, String from) {
+    if (descriptor.id().equals(from)) {
+      PeerMessage message = new PeerMessage.KnownHosts(List.of(descriptor));
       directory.otherHosts().forEach(host -> sender.send(host, message));
     }
   }
 
-  /** Sends the whole list to at most one of the hosts for which it is due. */
+  /** Sends the whole list to one of the hosts for which it is due, if any. */
   void tick(long now) {
     if (now < nextDueAt && directory.size() == nextFullListAt.size()) {
       return;
--- a/burdockbay-server/src/main/java/org/burdockbay/server/node/NodeController.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/node/NodeController.java
@@ -49,38 +49,38 @@
 import org.burdockbay.server.transport.PeerListener;
 
 /**
- * Connects the parts of the core on the control thread with each other, with the other hosts and
- * with the upstreams.
+ * Connects the components of the core, which run on the control thread, with each other, with the
+ * other hosts and with the upstreams.
  *
- * <p>Public methods are for any thread; they hand over to the control thread.
+ * <p>Public methods may be called on any thread; they pass their work to the control thread.
  */
 public final class NodeController implements PeerListener, AutoCloseable {
 
-  /** Silence after which a host counts as lost, in milliseconds; three heartbeats fit into it. */
+  /** Silence after which a host is considered lost, in milliseconds; three heartbeat intervals. */
   private static final long HOST_SILENCE_TIMEOUT_MILLIS =
       LeaseTiming.ENTRY_HOST_SILENCE_TIMEOUT_MILLIS;
 
   /**
-   * A host that says that it hasn't heard this one for so long is not reached by the connection to
-   * it, in milliseconds; two heartbeats and a margin.
+   * Time without contact reported by another host after which the connection to it is replaced, in
+   * milliseconds; two heartbeat intervals and a margin.
    */
   private static final long CONNECTION_SILENCE_TIMEOUT_MILLIS = 350;
 
   private static final long MEMBERSHIP_INTERVAL_MILLIS = 25;
   private static final long DIRECTORY_CLEANUP_INTERVAL_MILLIS = 2_000;
 
-  /** How far the time of day must leap ahead to show a suspension, in milliseconds. */
+  /** Advance of the wall clock over the monotonic clock that indicates a pause, in milliseconds. */
   private static final long PAUSE_THRESHOLD_MILLIS = 250;
 
-  /** What a host tells of its load that doesn't dispatch. */
+  /** Load reported by a host that doesn't dispatch. */
   private static final DomainLoad NO_LOAD = new DomainLoad(0, 0);
 
   private static final long RECONCILE_INTERVAL_MILLIS = 500;
 
-  /** Silence after which another host with a disk may take a voter's place, in milliseconds. */
+  /** Silence after which another host with a disk may replace a voter, in milliseconds. */
   private static final long VOTER_SILENCE_TIMEOUT_MILLIS = 3_000;
 
-  /** Voters that are wanted: one may be lost, and three serve even when one is being replaced. */
+  /** Target number of voters: one may be lost, and three serve even while one is being replaced. */
   private static final int TARGET_VOTER_COUNT = 3;
 
   private final NodeParts parts;
@@ -105,7 +105,7 @@
   /** Latest status received from each host; accessed by the transport's threads. */
   private final Map<String, HostStatus> lastStatuses = new ConcurrentHashMap<>();
 
-  /** When the first heartbeat of a host's present life arrived, if an earlier life was heard. */
+  /** When the first heartbeat of a restarted host's current incarnation arrived. */
   private final Map<String, Long> restartDetectedAt = new HashMap<>();
 
   private final AtomicLong lastTicket;
@@ -113,13 +113,18 @@
   private volatile boolean hasDispatcher;
   private volatile boolean draining;
   private Optional<CompressedCatalog> agreedCatalog = Optional.empty();
+
+  /**
+   * Difference between the wall clock and the monotonic clock at the last tick, in milliseconds.
+   */
   private long lastWallClockLead;
+
   private long nextMembershipTickAt;
   private long nextDirectoryCleanupAt;
   private long nextReconciliationAt;
 
   /**
-   * Creates the parts of the host.
+   * Creates the components of the host.
    *
    * @throws ServerException if the data folder can't be used
    */
@@ -162,15 +167,15 @@
     this.storageIncarnation = storage.map(AgreementStorage::incarnation).orElse(0L);
     this.agreement = storage.map(this::createDriver);
     this.epochs = new EpochKeeper(settings.dataFolder().map(EpochFile::new), log);
-    EpochFile.Content recalled = epochs.load();
-    membership.restore(recalled.epoch());
-    membership.restore(recalled.layout());
+    EpochFile.Content saved = epochs.load();
+    membership.restore(saved.epoch());
+    membership.restore(saved.layout());
     this.proposals = new ProposalClient(clock, agreement, this::leader, this::send);
     this.voters = new VoterKeeper(TARGET_VOTER_COUNT, this::isReplaceable, log);
   }
 
   /**
-   * Starts transport and control.
+   * Starts the transport and the control thread.
    *
    * @throws ServerException if the peer address is in use
    */
@@ -184,61 +189,61 @@
   /**
    * Submits work.
    *
-   * @param answer gets the outcome once, on the control thread
-   * @return the ticket to {@link #callerDisconnected} with
+   * @param callback receives the outcome once, on the control thread
+   * @return the ticket to pass to {@link #callerDisconnected}
    */
-  public long submit(WorkRequest request, Consumer<WorkOutcome> answer) {
+  public long submit(WorkRequest request, Consumer<WorkOutcome> callback) {
     long ticket = lastTicket.incrementAndGet();
-    executeWork(() -> workHandler.submit(ticket, request, answer));
+    executeWork(() -> workHandler.submit(ticket, request, callback));
     return ticket;
   }
 
-  /** Notes that the caller of a ticket no longer waits. */
+  /** Handles the disconnection of the caller that holds the ticket. */
   public void callerDisconnected(long ticket) {
     executeWork(() -> workHandler.callerDisconnected(ticket));
   }
 
-  /** Takes the announcement of an upstream that reached this host itself. */
-  public void upstreamAnnounced(UpstreamAnnouncement notice) {
-    executeControl(() -> upstreamGossip.upstreamAnnounced(notice, clock.millis()));
+  /** Handles an announcement that an upstream sent to this host. */
+  public void upstreamAnnounced(UpstreamAnnouncement announcement) {
+    executeControl(() -> upstreamGossip.upstreamAnnounced(announcement, clock.millis()));
   }
 
-  /** Takes the departure of an upstream that reached this host itself. */
+  /** Handles a departure that an upstream reported to this host. */
   public void upstreamDeparted(String upstream) {
     executeControl(() -> upstreamGossip.upstreamDeparted(upstream, clock.millis()));
   }
 
-  /** Publishes a catalog; the future gets the reply of the voters. */
+  /** Publishes a catalog; the future completes with the reply of the voters. */
   public CompletableFuture<ControlReply> publishCatalog(CompressedCatalog published) {
     return propose(new ControlCommand.PublishCatalog(published));
   }
 
-  /** Reads the newest catalog that was accepted; the future gets the reply of the voters. */
+  /** Reads the newest accepted catalog; the future completes with the reply of the voters. */
   public CompletableFuture<ControlReply> readCatalog() {
     return propose(new ControlCommand.ReadCatalog());
   }
 
-  /** Returns the catalog in force here; safe on any thread. */
+  /** Returns the catalog in force on this host. */
   public Catalog catalog() {
     return catalog.current();
   }
 
-  /** Returns whether this host can serve callers; safe on any thread. */
+  /** Returns whether this host can serve callers. */
   public boolean isReady() {
     return catalog.current().version() > 0 && hasDispatcher && !draining;
   }
 
-  /** Returns whether a planned stop has begun; safe on any thread. */
+  /** Returns whether a planned stop has begun. */
   public boolean isDraining() {
     return draining;
   }
 
-  /** Replaces the seeds, as the settings have changed. */
+  /** Connects to the seeds of changed settings; hosts already known stay connected. */
   public void seedsChanged(List<HostAddress> seeds) {
     executeControl(() -> seeds.forEach(this::connectSeed));
   }
 
-  /** Begins a planned stop; the host goes on until nothing is in flight. */
+  /** Begins a planned stop; the host continues to serve the requests in flight. */
   public void drain() {
     executeControl(
         () -> {
@@ -250,7 +255,7 @@
         });
   }
 
-  /** Returns the number of callers that wait here and pieces of work that are dispatched here. */
+  /** Returns the number of callers waiting at, and of pieces of work dispatched by, this host. */
   public CompletableFuture<Integer> inFlightCount() {
     return query(workHandler::inFlightCount);
   }
@@ -289,8 +294,8 @@
   }
 
   /**
-   * Defers heartbeats that change at most the load, which most do, unless they come from the timing
-   * reference.
+   * Queues a heartbeat, deferred if it changes at most the load and doesn't come from the timing
+   * reference; this applies to most heartbeats.
    */
   private void enqueueHeartbeat(String host, PeerMessage.Heartbeat heartbeat, long arrivedAt) {
     Runnable task = () -> handle(host, heartbeat, arrivedAt);
@@ -305,10 +310,10 @@
 
   private void sendMissedNews(String host, long incarnation, long now) {
     OptionalLong since = peerSync.connected(host, incarnation, now);
-    boolean everything = since.isEmpty() && peerSync.sendsFullSync(host, liveHosts());
-    hostGossip.connected(host, everything);
+    boolean fullSync = since.isEmpty() && peerSync.sendsFullSync(host, liveHosts());
+    hostGossip.connected(host, fullSync);
     Optional<PeerMessage> missed =
-        everything
+        fullSync
             ? upstreamGossip.fullNews(now)
             : upstreamGossip.newsSince(
                 since.orElse(now - UpstreamGossip.NEWS_RETENTION_MILLIS), now);
@@ -357,10 +362,10 @@
   }
 
   /**
-   * Takes the newest agreed catalog in use.
+   * Offers the newest agreed catalog to the catalog keeper.
    *
-   * <p>Once for each batch: a restarted host applies all that its log holds at one go, and telling
-   * everybody of each version on the way would hold up the newest.
+   * <p>This is done once per batch: a restarted host applies its whole log at once, and announcing
+   * every intermediate version would delay the newest.
    */
   private void offerAgreedCatalog() {
     agreedCatalog.ifPresent(agreed -> catalog.offer(agreed, "log"));
@@ -373,11 +378,11 @@
     return reply;
   }
 
-  private <T> CompletableFuture<T> query(Supplier<T> question) {
-    CompletableFuture<T> answer = new CompletableFuture<>();
-    // Behind the callers whose requests still wait, so that they are counted.
-    executeWork(() -> answer.complete(question.get()));
-    return answer;
+  private <T> CompletableFuture<T> query(Supplier<T> supplier) {
+    CompletableFuture<T> result = new CompletableFuture<>();
+    // In the work lane, so that requests which are still queued are counted.
+    executeWork(() -> result.complete(supplier.get()));
+    return result;
   }
 
   private void executeControl(Runnable task) {
@@ -388,7 +393,7 @@
     parts.thread().executeWork(task);
   }
 
-  /** Hands work to the dispatcher, unless its entry host was restarted since it sent it. */
+  /** Passes work to the dispatcher, unless its entry host has restarted since it was sent. */
   private void workSubmitted(String host, PeerMessage.SubmitWork submit, long arrivedAt) {
     directory.recordContact(host, arrivedAt);
     if (arrivedAt <= restartDetectedAt.getOrDefault(host, Long.MIN_VALUE)) {
@@ -407,8 +412,8 @@
   }
 
   /**
-   * Hands a cancellation to the dispatcher at once, and again behind the submission that it may
-   * have overtaken.
+   * Passes a cancellation to the dispatcher in the control lane, and once more in the work lane,
+   * behind the submission that it may have overtaken.
    */
   private void workCancelled(String host, PeerMessage.CancelWork cancel, long arrivedAt) {
     LeaseEvent event = new LeaseEvent.Cancelled(host, cancel.token(), cancel.workId());
@@ -419,8 +424,9 @@
   /**
    * Handles a control message.
    *
-   * <p>A report is one too: taken after a change of the dispatcher that it came before, it would
-   * answer a caller whose work the next dispatcher goes on with.
+   * <p>Reports of outcomes are control messages too. If a report were handled only after a change
+   * of dispatcher that it preceded, it would answer a caller whose work the next dispatcher
+   * continues.
    */
   private void handle(String host, PeerMessage message, long arrivedAt) {
     long now = clock.millis();
@@ -428,7 +434,7 @@
     switch (message) {
       case PeerMessage.Heartbeat heartbeat -> handleHeartbeat(heartbeat, arrivedAt, now);
       case PeerMessage.KnownHosts known ->
-          known.hosts().forEach(card -> addDiscoveredHost(host, card, now));
+          known.hosts().forEach(descriptor -> addDiscoveredHost(host, descriptor, now));
       case PeerMessage.UpstreamNews news -> upstreamGossip.handleNews(news, now);
       case PeerMessage.ReportWork report ->
           workHandler.handleIntakeEvent(
@@ -461,8 +467,8 @@
         status.host(), status.incarnation(), heartbeat.lastContactAgeMillis(), arrivedAt);
     Long before = incarnations.put(status.host(), status.incarnation());
     if (before != null && before < status.incarnation()) {
-      // The process was restarted within the time that its loss would have shown by silence. Work
-      // of its earlier life that still waits here is nobody's any more.
+      // The process restarted before its silence timeout expired. Work submitted by its earlier
+      // incarnation has no caller any more.
       restartDetectedAt.put(status.host(), arrivedAt);
       workHandler.handleLeaseEvent(new LeaseEvent.EntryHostLost(status.host()));
     }
@@ -481,19 +487,18 @@
   }
 
   /**
-   * Replaces a connection that has gone silent while others work.
+   * Replaces the connection to a host that reports receiving nothing over it.
    *
-   * <p>Something between two hosts may lose track of an open connection. TCP alone notices after
-   * many minutes, and until then the other host misses every heartbeat and takes this one for lost.
-   * The other host's heartbeats, which come over a connection of its own, tell.
+   * <p>A device between two hosts may lose the state of an open connection. TCP detects that only
+   * after many minutes, and until then the other host receives no heartbeats and considers this one
+   * lost. The other host's heartbeats arrive over its own connection and report its last contact.
    */
-  private void renewSilentConnection(String host, OptionalLong heardAgoMillis) {
-    boolean unheard =
-        heardAgoMillis.isPresent()
-            && heardAgoMillis.getAsLong() > CONNECTION_SILENCE_TIMEOUT_MILLIS;
-    if (unheard
-        && parts.transport().reconnectIfOlderThan(host, CONNECTION_SILENCE_TIMEOUT_MILLIS)) {
-      log.warn("connection-silent", "to=" + host + " unheard=" + heardAgoMillis.getAsLong());
+  private void renewSilentConnection(String host, OptionalLong lastContactAgeMillis) {
+    boolean silent =
+        lastContactAgeMillis.isPresent()
+            && lastContactAgeMillis.getAsLong() > CONNECTION_SILENCE_TIMEOUT_MILLIS;
+    if (silent && parts.transport().reconnectIfOlderThan(host, CONNECTION_SILENCE_TIMEOUT_MILLIS)) {
+      log.warn("connection-silent", "to=" + host + " unheard=" + lastContactAgeMillis.getAsLong());
     }
   }
 
@@ -514,32 +519,34 @@
   }
 
   private void connectSeed(HostAddress seed) {
-    HostDescriptor card = new HostDescriptor(seed.ip(), "", "", seed.toString());
+    HostDescriptor descriptor = new HostDescriptor(seed.ip(), "", "", seed.toString());
     boolean known = directory.otherHosts().contains(seed.ip());
     if (!known && !seed.ip().equals(settings.host())) {
-      directory.add(card, clock.millis());
-      connect(card);
+      directory.add(descriptor, clock.millis());
+      connect(descriptor);
     }
   }
 
-  private void addDiscoveredHost(String from, HostDescriptor card, long now) {
-    if (card.group().isEmpty() || card.id().equals(settings.host())) {
+  private void addDiscoveredHost(String from, HostDescriptor descriptor, long now) {
+    if (descriptor.group().isEmpty() || descriptor.id().equals(settings.host())) {
       return;
     }
-    boolean connected = directory.otherHosts().contains(card.id());
-    if (directory.add(card, now)) {
-      membership.addHost(card.id(), card.group(), now);
-      log.info("host-learnt", "host=" + card.id() + " group=" + card.group());
+    boolean connected = directory.otherHosts().contains(descriptor.id());
+    if (directory.add(descriptor, now)) {
+      membership.addHost(descriptor.id(), descriptor.group(), now);
+      log.info("host-learnt", "host=" + descriptor.id() + " group=" + descriptor.group());
       if (!connected) {
-        connect(card);
+        connect(descriptor);
       }
-      hostGossip.hostDiscovered(card, from);
+      hostGossip.hostDiscovered(descriptor, from);
     }
   }
 
-  private void connect(HostDescriptor card) {
-    HostAddress address = HostAddress.parse(card.address());
-    parts.transport().connect(new PeerSettings(card.id(), card.domain(), address, false));
+  private void connect(HostDescriptor descriptor) {
+    HostAddress address = HostAddress.parse(descriptor.address());
+    parts
+        .transport()
+        .connect(new PeerSettings(descriptor.id(), descriptor.domain(), address, false));
   }
 
   private void execute(List<MembershipEffect> effects) {
@@ -608,9 +615,11 @@
     }
   }
 
-  /** Claims the role anew with a higher token, or leaves it to a host that is heard with one. */
-  private void claimSuperseded(LeaseEffect.Superseded lost) {
-    execute(membership.handleSupersededClaim(lost.token(), lost.acceptedBefore(), clock.millis()));
+  /** Claims the role again with a higher token, or yields to a host that already has one. */
+  private void claimSuperseded(LeaseEffect.Superseded superseded) {
+    execute(
+        membership.handleSupersededClaim(
+            superseded.token(), superseded.acceptedBefore(), clock.millis()));
   }
 
   private void resetMembership() {
@@ -618,18 +627,18 @@
   }
 
   /**
-   * Finds out that the machine was suspended.
+   * Detects that the machine was suspended.
    *
-   * <p>The steady clock may not count that time, and the time of day does. A step of the time of
-   * day looks the same; it then costs a change of dispatcher and nothing else.
+   * <p>The monotonic clock may not advance during a suspension, while the wall clock does. A step
+   * of the wall clock is indistinguishable from a pause; it causes a change of dispatcher at most.
    */
   private void detectPause(long now) {
-    long ahead = System.currentTimeMillis() - now;
-    if (ahead - lastWallClockLead > PAUSE_THRESHOLD_MILLIS) {
-      log.warn("clock-ahead", "millis=" + (ahead - lastWallClockLead));
-      workHandler.handleLeaseEvent(new LeaseEvent.ProcessPaused(ahead - lastWallClockLead));
+    long lead = System.currentTimeMillis() - now;
+    if (lead - lastWallClockLead > PAUSE_THRESHOLD_MILLIS) {
+      log.warn("clock-ahead", "millis=" + (lead - lastWallClockLead));
+      workHandler.handleLeaseEvent(new LeaseEvent.ProcessPaused(lead - lastWallClockLead));
     }
-    lastWallClockLead = ahead;
+    lastWallClockLead = lead;
   }
 
   private void tick() {
@@ -650,7 +659,9 @@
     hostGossip.tick(now);
     if (now >= nextDirectoryCleanupAt) {
       nextDirectoryCleanupAt = now + DIRECTORY_CLEANUP_INTERVAL_MILLIS;
-      directory.removeSilentHosts(now).forEach(card -> parts.transport().disconnect(card.id()));
+      directory
+          .removeSilentHosts(now)
+          .forEach(descriptor -> parts.transport().disconnect(descriptor.id()));
     }
     if (now >= nextReconciliationAt) {
       nextReconciliationAt = now + RECONCILE_INTERVAL_MILLIS;
@@ -736,7 +747,7 @@
     directory.otherHosts().forEach(host -> parts.transport().send(host, message));
   }
 
-  /** Sends a message to a host; to this one without the network. */
+  /** Sends a message to a host; a message to this host is delivered locally. */
   private void send(String host, PeerMessage message) {
     if (host.equals(settings.host())) {
       messageReceived(host, message);
--- a/burdockbay-server/src/main/java/org/burdockbay/server/node/NodeParts.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/node/NodeParts.java
@@ -8,17 +8,18 @@
 import org.burdockbay.server.transport.PeerTransport;
 
 /**
- * What a {@link NodeController} is built on.
+ * The components that a {@link NodeController} uses.
  *
  * @param settings settings of the host
- * @param incarnation differs between runs of the process, and rises
- * @param clock the time
+ * @param incarnation incarnation of the host's process; increases with each start
+ * @param clock the monotonic clock
  * @param log the event log
  * @param metrics counters and histograms
- * @param transport messages to and from other hosts
- * @param upstreams orders to upstreams
- * @param catalogReader reads published catalogs
- * @param background runs tasks that would block the control thread or an event loop for too long
+ * @param transport transport of messages between hosts
+ * @param upstreams calls to upstreams
+ * @param catalogReader parses published catalogs
+ * @param background executes tasks that would block the control thread or an event loop for too
+ *     long
  * @param thread the control thread
  */
 public record NodeParts(
--- a/burdockbay-server/src/main/java/org/burdockbay/server/node/NodeSettings.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/node/NodeSettings.java
@@ -7,15 +7,15 @@
 import org.burdockbay.server.settings.HostAddress;
 
 /**
- * What a host that finds the others from seeds is told at its start.
+ * The settings of a host that discovers other hosts through seeds.
  *
- * @param cluster the cluster that it belongs to
- * @param descriptor what other hosts get to know of it; its id is its IP address
- * @param address where it listens for other hosts
- * @param mayDispatch whether it may take the dispatcher role
- * @param seeds where some hosts with a data folder listen for other hosts; may be out of date
- * @param dataFolder the data folder, if it has a disk
- * @param firstStart whether the whole system starts for the first time, with empty disks
+ * @param cluster name of the cluster
+ * @param descriptor descriptor announced to other hosts; its id is the IP address of the host
+ * @param address address on which the host listens for other hosts
+ * @param mayDispatch whether the host may take the dispatcher role
+ * @param seeds peer addresses of some hosts with a data folder; may be outdated
+ * @param dataFolder the data folder, if the host has a disk
+ * @param firstStart whether the whole cluster starts for the first time, with empty disks
  */
 public record NodeSettings(
     String cluster,
@@ -26,7 +26,7 @@
     Optional<Path> dataFolder,
     boolean firstStart) {
 
-  /** Copies the list. */
+  /** Creates settings with a copy of the list of seeds. */
   public NodeSettings {
     seeds = List.copyOf(seeds);
   }
@@ -36,9 +36,9 @@
     return descriptor.id();
   }
 
-  /** Returns the settings with other seeds. */
-  public NodeSettings withSeeds(List<HostAddress> others) {
+  /** Returns a copy of the settings with the given seeds. */
+  public NodeSettings withSeeds(List<HostAddress> newSeeds) {
     return new NodeSettings(
-        cluster, descriptor, address, mayDispatch, others, dataFolder, firstStart);
+        cluster, descriptor, address, mayDispatch, newSeeds, dataFolder, firstStart);
   }
 }
--- a/burdockbay-server/src/main/java/org/burdockbay/server/node/PeerSyncTracker.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/node/PeerSyncTracker.java
@@ -6,18 +6,19 @@
 import java.util.OptionalLong;
 
 /**
- * Tracks what other hosts may have missed before a new connection.
+ * Tracks the messages that other hosts may have missed before a new connection.
  *
- * <p>Sending everything on each new connection would add load just when connections break because
- * links are saturated. A host that is still running is therefore sent only what it may have missed
- * since it last heard this host, and a restarted host is sent everything by only a few hosts.
+ * <p>A full sync on each new connection would add load just when connections break because links
+ * are saturated. A host that is still running is therefore sent only the news that it may have
+ * missed since its last contact with this host, and a restarted host receives a full sync from only
+ * a few hosts.
  */
 final class PeerSyncTracker {
 
-  /** Number of hosts selected by rank to send everything; hosts with a disk always do. */
+  /** Number of hosts selected by rank to send a full sync; hosts with a disk always send one. */
   static final int FULL_SYNC_SENDERS = 2;
 
-  /** Margin for messages in flight when the other host reported, in milliseconds. */
+  /** Margin for messages in flight at the time of a report, in milliseconds. */
   private static final long IN_FLIGHT_MARGIN_MILLIS = 500;
 
   private final String self;
@@ -34,18 +35,22 @@
     this.hasDisk = hasDisk;
   }
 
-  /** Records how long ago another host last heard this one, in milliseconds. */
-  void contactReported(String host, long incarnation, OptionalLong agoMillis, long now) {
+  /**
+   * Records a report of another host on its last contact with this one.
+   *
+   * @param ageMillis time since that contact, in milliseconds; empty if there was none
+   */
+  void contactReported(String host, long incarnation, OptionalLong ageMillis, long now) {
     Peer peer = peers.get(host);
-    if (peer != null && peer.incarnation == incarnation && agoMillis.isPresent()) {
-      peer.lastContactAt = Math.max(peer.lastContactAt, now - agoMillis.getAsLong());
+    if (peer != null && peer.incarnation == incarnation && ageMillis.isPresent()) {
+      peer.lastContactAt = Math.max(peer.lastContactAt, now - ageMillis.getAsLong());
     }
   }
 
   /**
    * Records a new connection to a host.
    *
-   * @return the time since which the host may have missed news, or empty if it may lack everything
+   * @return the time from which the host may have missed news, or empty if it may have missed all
    */
   OptionalLong connected(String host, long incarnation, long now) {
     Peer peer = peers.get(host);
@@ -56,7 +61,7 @@
     return OptionalLong.of(peer.lastContactAt - IN_FLIGHT_MARGIN_MILLIS);
   }
 
-  /** Returns whether this host is one of those that send a restarted host everything. */
+  /** Returns whether this host sends a full sync to a restarted host. */
   boolean sendsFullSync(String host, Collection<String> liveHosts) {
     long rankedBefore =
         liveHosts.stream()
@@ -66,7 +71,7 @@
     return hasDisk || rankedBefore < FULL_SYNC_SENDERS;
   }
 
-  /** Rendezvous hash; the senders with the lowest values rank first. */
+  /** Returns the rendezvous hash of a sender; senders with the lowest values rank first. */
   private static long rank(String sender, String host) {
     // Mixes the bits, because ids that differ only in the last digits have similar hash codes.
     long mixed = (sender + '>' + host).hashCode() * 0x9E3779B97F4A7C15L;
@@ -84,7 +89,7 @@
       this.connectedAt = connectedAt;
     }
 
-    /** Returns whether the host has heard this one later than the margin after the full send. */
+    /** Returns whether the host reported a contact later than the margin after the full sync. */
     private boolean hasReceivedFullSync() {
       return lastContactAt > connectedAt + IN_FLIGHT_MARGIN_MILLIS;
     }
--- a/burdockbay-server/src/main/java/org/burdockbay/server/node/UpstreamCalls.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/node/UpstreamCalls.java
@@ -5,10 +5,10 @@
 import org.burdockbay.core.lease.LeaseEvent;
 
 /**
- * Carries orders to upstreams.
+ * Sends calls to upstreams.
  *
  * <p>Each call is answered exactly once, on any thread, with {@link
- * org.burdockbay.core.lease.OrderResult#NO_ANSWER} where no answer came in time.
+ * org.burdockbay.core.lease.OrderResult#NO_ANSWER} if the upstream doesn't answer in time.
  */
 public interface UpstreamCalls extends AutoCloseable {
 
--- a/burdockbay-server/src/main/java/org/burdockbay/server/node/UpstreamGossip.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/node/UpstreamGossip.java
@@ -16,30 +16,32 @@
 import org.burdockbay.core.shard.ShardLayout;
 
 /**
- * Passes what upstreams say of themselves on to the dispatcher here and to all other hosts.
+ * Relays announcements and departures of upstreams to the local dispatcher and to all other hosts.
  *
- * <p>News are gathered for {@link #BATCH_INTERVAL_MILLIS}: an upstream that leaves may get new
- * tasks for seconds, and a message for each announcement would cost a hundred a second and more.
+ * <p>News for other hosts is batched for {@link #BATCH_INTERVAL_MILLIS}. A message for each
+ * announcement would amount to a hundred messages per second and more, while a delay is harmless,
+ * since an upstream that leaves may receive new tasks for several seconds.
  */
 final class UpstreamGossip {
 
-  /** Time for which news are gathered into one message, in milliseconds. */
+  /** Minimum time between two news messages to all other hosts, in milliseconds. */
   private static final long BATCH_INTERVAL_MILLIS = 100;
 
   /**
-   * Silence after which an upstream is forgotten, in milliseconds.
+   * Silence after which an upstream is removed, in milliseconds.
    *
-   * <p>Upstreams announce themselves to hosts with a disk only. When all of those are down, an
-   * upstream is silent here and serves as before, and the dispatcher's own calls tell whether it is
-   * alive. Forgotten sooner, the whole fleet would be gone, and every caller refused, while the
-   * hosts with a disk are down. Ten minutes are longer than a restart of all of them takes.
+   * <p>Upstreams announce themselves only to hosts with a disk. While all of those are down, no
+   * announcements arrive although the upstreams still serve, and the dispatcher's own calls show
+   * which upstreams are alive. With a short timeout, the whole fleet would be removed, and every
+   * caller refused, during such an outage. Ten minutes exceed the time in which all hosts with a
+   * disk restart.
    */
   static final long SILENCE_TIMEOUT_MILLIS = 600_000;
 
   /** Time for which sent news is kept for resending on new connections, in milliseconds. */
   static final long NEWS_RETENTION_MILLIS = 20_000;
 
-  /** How often an announcement that says nothing new is passed on, in milliseconds. */
+  /** Interval at which unchanged announcements are relayed, in milliseconds. */
   static final long RESEND_INTERVAL_MILLIS = SILENCE_TIMEOUT_MILLIS / 10;
 
   private final UpstreamRegistry registry = new UpstreamRegistry(SILENCE_TIMEOUT_MILLIS);
@@ -50,61 +52,70 @@
   private final Deque<SentNews> sentNews = new ArrayDeque<>();
   private long nextSendAt;
 
-  /** When an announcement of an upstream is passed on again although it says nothing new. */
+  /** When the next unchanged announcement of each upstream is due to be relayed. */
   private final Map<String, Long> nextResendAt = new HashMap<>();
 
-  UpstreamGossip(Consumer<LeaseEvent> dispatcher, Consumer<PeerMessage> others) {
+  /**
+   * Creates an instance without any upstreams.
+   *
+   * @param dispatcher receives the events of the local dispatcher
+   * @param broadcaster sends a message to all other hosts
+   */
+  UpstreamGossip(Consumer<LeaseEvent> dispatcher, Consumer<PeerMessage> broadcaster) {
     this.dispatcher = dispatcher;
-    this.broadcaster = others;
+    this.broadcaster = broadcaster;
   }
 
   /**
-   * Takes an announcement that an upstream made to this host.
+   * Handles an announcement that an upstream sent to this host.
    *
-   * <p>It is passed on at once if it says anything new, and otherwise rarely, so that the others
-   * don't forget the upstream: most announcements only repeat the one before.
+   * <p>Changes are relayed with the next batch. Most announcements only repeat the previous one;
+   * these are relayed at {@link #RESEND_INTERVAL_MILLIS}, so that other hosts don't remove the
+   * upstream for its silence.
    */
-  void upstreamAnnounced(UpstreamAnnouncement notice, long now) {
-    Optional<UpstreamAnnouncement> before = registry.announcement(notice.id());
-    if (!recordAnnouncement(notice, 0, now)) {
+  void upstreamAnnounced(UpstreamAnnouncement announcement, long now) {
+    Optional<UpstreamAnnouncement> before = registry.announcement(announcement.id());
+    if (!recordAnnouncement(announcement, 0, now)) {
       return;
     }
-    boolean repeats = before.filter(notice::hasSameContent).isPresent();
-    if (!repeats || now >= nextResendAt.getOrDefault(notice.id(), 0L)) {
-      nextResendAt.put(notice.id(), now + RESEND_INTERVAL_MILLIS);
-      pendingAnnouncements.add(new PeerMessage.UpstreamNews.Announced(notice, 0));
+    boolean repeats = before.filter(announcement::hasSameContent).isPresent();
+    if (!repeats || now >= nextResendAt.getOrDefault(announcement.id(), 0L)) {
+      nextResendAt.put(announcement.id(), now + RESEND_INTERVAL_MILLIS);
+      pendingAnnouncements.add(new PeerMessage.UpstreamNews.Announced(announcement, 0));
     }
   }
 
-  /** Takes a departure that an upstream told this host. */
+  /** Handles a departure that an upstream reported to this host. */
   void upstreamDeparted(String upstream, long now) {
     registry
         .recordDeparture(upstream, now)
         .ifPresent(
-            notice -> {
-              dispatcher.accept(new LeaseEvent.Departed(notice));
+            announcement -> {
+              dispatcher.accept(new LeaseEvent.Departed(announcement));
               nextResendAt.remove(upstream);
-              pendingDepartures.add(notice);
+              pendingDepartures.add(announcement);
             });
   }
 
-  /** Takes what another host passes on. */
+  /** Handles news relayed by another host. */
   void handleNews(PeerMessage.UpstreamNews news, long now) {
-    news.announced().forEach(each -> recordAnnouncement(each.notice(), each.ageMillis(), now));
-    for (UpstreamAnnouncement notice : news.departed()) {
+    news.announced()
+        .forEach(announced -> recordAnnouncement(announced.notice(), announced.ageMillis(), now));
+    for (UpstreamAnnouncement announcement : news.departed()) {
       registry
-          .recordDeparture(notice.id(), now)
+          .recordDeparture(announcement.id(), now)
           .ifPresent(known -> dispatcher.accept(new LeaseEvent.Departed(known)));
     }
   }
 
-  /** Returns all that is known, for a host that may know nothing. */
+  /** Returns all registered announcements, for a host that may have none of them. */
   Optional<PeerMessage> fullNews(long now) {
     List<PeerMessage.UpstreamNews.Announced> all =
         registry.announcements().stream()
             .map(
-                notice ->
-                    new PeerMessage.UpstreamNews.Announced(notice, registry.ageMillis(notice, now)))
+                announcement ->
+                    new PeerMessage.UpstreamNews.Announced(
+                        announcement, registry.ageMillis(announcement, now)))
             .toList();
     return all.isEmpty()
         ? Optional.empty()
@@ -112,8 +123,8 @@
   }
 
   /**
-   * Returns the news that this host has sent to all others since the given time, for a host that
-   * may have missed it, or all that is known if that news is no longer kept.
+   * Returns the news that this host has broadcast since the given time, for a host that may have
+   * missed it, or all registered announcements if that news is no longer retained.
    */
   Optional<PeerMessage> newsSince(long since, long now) {
     if (now - since > NEWS_RETENTION_MILLIS) {
@@ -138,18 +149,19 @@
         : Optional.of(new PeerMessage.UpstreamNews(missedAnnounced, missedDeparted));
   }
 
-  /** Returns the number of upstreams that are known. */
+  /** Returns the number of registered upstreams. */
   int upstreamCount() {
     return registry.announcements().size();
   }
 
-  /** Returns the layout that suits the upstreams that are known. */
+  /** Returns the layout for the current number of upstreams and domains. */
   ShardLayout suitableLayout() {
-    Collection<UpstreamAnnouncement> notices = registry.announcements();
-    long domains = notices.stream().map(UpstreamAnnouncement::domain).distinct().count();
-    return ShardLayout.of(notices.size(), Math.toIntExact(domains));
+    Collection<UpstreamAnnouncement> announcements = registry.announcements();
+    long domains = announcements.stream().map(UpstreamAnnouncement::domain).distinct().count();
+    return ShardLayout.of(announcements.size(), Math.toIntExact(domains));
   }
 
+  /** Sends the pending news, and removes expired news and upstreams. */
   void tick(long now) {
     if (now >= nextSendAt && !(pendingAnnouncements.isEmpty() && pendingDepartures.isEmpty())) {
       nextSendAt = now + BATCH_INTERVAL_MILLIS;
@@ -171,14 +183,15 @@
     dispatcher.accept(new LeaseEvent.Departed(lost));
   }
 
-  private boolean recordAnnouncement(UpstreamAnnouncement notice, long ageMillis, long now) {
-    boolean news = registry.recordAnnouncement(notice, ageMillis, now);
-    if (news) {
-      dispatcher.accept(new LeaseEvent.Announced(notice));
+  /** Registers an announcement, and returns whether the registry accepted it. */
+  private boolean recordAnnouncement(UpstreamAnnouncement announcement, long ageMillis, long now) {
+    boolean accepted = registry.recordAnnouncement(announcement, ageMillis, now);
+    if (accepted) {
+      dispatcher.accept(new LeaseEvent.Announced(announcement));
     }
-    return news;
+    return accepted;
   }
 
-  /** News and the time at which it was sent, in milliseconds. */
+  /** Broadcast news and the time at which it was sent. */
   private record SentNews(PeerMessage.UpstreamNews news, long sentAt) {}
 }
--- a/burdockbay-server/src/main/java/org/burdockbay/server/node/WorkHandler.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/node/WorkHandler.java
@@ -21,7 +21,11 @@
 import org.burdockbay.server.logging.EventLog;
 import org.burdockbay.server.metrics.HostMetrics;
 
-/** Runs intake and dispatch, and carries out their effects; used by the control thread only. */
+/**
+ * Runs the intake and the dispatcher, and executes their effects.
+ *
+ * <p>Not thread-safe; must be used on the control thread only.
+ */
 final class WorkHandler {
 
   private final LeaseDispatcher dispatcher;
@@ -37,13 +41,21 @@
   private final Consumer<LeaseEffect.Superseded> onSuperseded;
   private final Runnable onRoleReleased;
 
+  /**
+   * Creates a handler.
+   *
+   * @param control executes control tasks on the control thread
+   * @param work executes work tasks on the control thread, after all control tasks
+   * @param onSuperseded called after an upstream refused the dispatcher's token as superseded
+   * @param onRoleReleased called after the dispatcher released its role
+   */
   WorkHandler(
       NodeParts parts,
       PeerSender sender,
       Executor control,
       Executor work,
-      Consumer<LeaseEffect.Superseded> outranked,
-      Runnable startOver) {
+      Consumer<LeaseEffect.Superseded> onSuperseded,
+      Runnable onRoleReleased) {
     this.dispatcher = new LeaseDispatcher(parts.settings().host(), LeaseTiming.DEFAULT);
     this.intake =
         new WorkIntake(
@@ -57,29 +69,33 @@
     this.sender = sender;
     this.controlExecutor = control;
     this.workExecutor = work;
-    this.onSuperseded = outranked;
-    this.onRoleReleased = startOver;
+    this.onSuperseded = onSuperseded;
+    this.onRoleReleased = onRoleReleased;
   }
 
-  void submit(long ticket, WorkRequest request, Consumer<WorkOutcome> answer) {
-    callbacks.put(ticket, answer);
+  /** Submits the request of a caller; the callback receives its outcome. */
+  void submit(long ticket, WorkRequest request, Consumer<WorkOutcome> callback) {
+    callbacks.put(ticket, callback);
     handleIntakeEvent(new IntakeEvent.RequestReceived(ticket, request));
   }
 
+  /** Handles the disconnection of a caller, which then receives no outcome. */
   void callerDisconnected(long ticket) {
     callbacks.remove(ticket);
     handleIntakeEvent(new IntakeEvent.CallerDisconnected(ticket));
   }
 
+  /** Returns the number of callers of this host that wait for an outcome. */
   int waitingCallers() {
     return intake.waitingCallers();
   }
 
+  /** Returns the number of waiting callers plus the number of unanswered pieces of work. */
   int inFlightCount() {
     return intake.waitingCallers() + dispatcher.unansweredCount();
   }
 
-  /** Returns how much room there is on the upstreams that this host dispatches to. */
+  /** Returns the load, with the free capacity, of the upstreams that this host dispatches to. */
   DomainLoad load() {
     return dispatcher.load();
   }
@@ -106,7 +122,7 @@
                 cancel.to().host(),
                 new PeerMessage.CancelWork(cancel.to().token(), cancel.workId()));
         case IntakeEffect.Answer answer -> answerCaller(answer);
-        case IntakeEffect.LogEvent note -> log.info(note.event(), note.fields());
+        case IntakeEffect.LogEvent logEvent -> log.info(logEvent.event(), logEvent.fields());
       }
     }
   }
@@ -115,12 +131,12 @@
     execute(dispatcher.handle(event, clock.millis()));
   }
 
-  /** Takes an event that arrived some time ago. */
+  /** Handles an event that arrived at the given time, before now. */
   void handleLeaseEvent(LeaseEvent event, long arrivedAt) {
     execute(dispatcher.handle(event, arrivedAt, clock.millis()));
   }
 
-  /** Starts what can start; called after some events. */
+  /** Starts the tasks that can start; called once after each batch of events. */
   void placeTasks() {
     execute(dispatcher.place(clock.millis()));
   }
@@ -134,12 +150,12 @@
         case LeaseEffect.Report report ->
             sender.send(
                 report.entryHost(), new PeerMessage.ReportWork(report.workId(), report.outcome()));
-        case LeaseEffect.Superseded lost ->
-            controlExecutor.execute(() -> onSuperseded.accept(lost));
-        case LeaseEffect.RoleReleased stalled -> controlExecutor.execute(onRoleReleased);
-        case LeaseEffect.LogEvent note -> {
-          metrics.countEvent(note.event());
-          log.info(note.event(), note.fields());
+        case LeaseEffect.Superseded superseded ->
+            controlExecutor.execute(() -> onSuperseded.accept(superseded));
+        case LeaseEffect.RoleReleased released -> controlExecutor.execute(onRoleReleased);
+        case LeaseEffect.LogEvent logEvent -> {
+          metrics.countEvent(logEvent.event());
+          log.info(logEvent.event(), logEvent.fields());
         }
       }
     }
@@ -162,12 +178,13 @@
             + " outcome="
             + code(answer.outcome()));
     metrics.recordWork(answer.request().queue(), code(answer.outcome()), answer.ageMillis());
-    Consumer<WorkOutcome> waiting = callbacks.remove(answer.ticket());
-    if (waiting != null) {
-      waiting.accept(answer.outcome());
+    Consumer<WorkOutcome> callback = callbacks.remove(answer.ticket());
+    if (callback != null) {
+      callback.accept(answer.outcome());
     }
   }
 
+  /** Returns the code of an outcome in log lines and metrics. */
   private static String code(WorkOutcome outcome) {
     return switch (outcome) {
       case WorkOutcome.Completed completed -> "completed";
--- a/burdockbay-server/src/main/java/org/burdockbay/server/package-info.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/package-info.java
@@ -1,2 +1,2 @@
-/** The daemon around the core: settings, storage, transport, HTTP, metrics and wiring. */
+/** The server around the core: settings, storage, transport, HTTP, metrics and wiring. */
 package org.burdockbay.server;
--- a/burdockbay-server/src/main/java/org/burdockbay/server/wiring/HostComponent.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/wiring/HostComponent.java
@@ -14,7 +14,7 @@
   /** Returns the host. */
   Host host();
 
-  /** Creates the component. */
+  /** Creates {@link HostComponent} instances. */
   @Component.Factory
   interface Factory {
 
--- a/burdockbay-server/src/main/java/org/burdockbay/server/wiring/HostModule.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/wiring/HostModule.java
@@ -18,7 +18,7 @@
 import org.burdockbay.server.transport.TransportCounters;
 import org.burdockbay.server.transport.TransportSettings;
 
-/** Provides the parts of a host. */
+/** Provides the objects that a host is composed of. */
 @Module
 public final class HostModule {
 
--- a/burdockbay-server/src/main/java/org/burdockbay/server/wiring/package-info.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/wiring/package-info.java
@@ -1,2 +1,2 @@
-/** Dagger wiring of a host. */
+/** The dependency injection of a host, with Dagger. */
 package org.burdockbay.server.wiring;
