--- a/burdockbay-server/src/test/java/org/burdockbay/server/host/ConfigurationKeeperTest.java
+++ b/burdockbay-server/src/test/java/org/burdockbay/server/host/ConfigurationKeeperTest.java
@@ -7,25 +7,25 @@
 import org.burdockbay.server.logging.EventLog;
 import org.testng.annotations.Test;
 
-/** The configuration in force never goes back. */
+/** Tests {@link ConfigurationKeeper}. */
 public class ConfigurationKeeperTest {
 
   /**
-   * A host that was cut off returns and offers the version that it had, or a message arrives late.
-   * The newer version stays in force and nobody is told of the old one.
+   * Guards against reverting to an older version, offered by a host that reconnects after a network
+   * partition or by a late message.
    */
   @Test
   public void neverRevertsToOlderVersions() {
     ConfigurationKeeper keeper = new ConfigurationKeeper(new EventLog("test"));
-    List<Long> told = new ArrayList<>();
-    keeper.offer(2, "[service new]\n", changed -> told.add(changed.version()));
-    keeper.offer(1, "[service old]\n", changed -> told.add(changed.version()));
-    keeper.offer(2, "[service again]\n", changed -> told.add(changed.version()));
-    assertEquals(told, List.of(2L));
+    List<Long> notifiedVersions = new ArrayList<>();
+    keeper.offer(2, "[service new]\n", changed -> notifiedVersions.add(changed.version()));
+    keeper.offer(1, "[service old]\n", changed -> notifiedVersions.add(changed.version()));
+    keeper.offer(2, "[service again]\n", changed -> notifiedVersions.add(changed.version()));
+    assertEquals(notifiedVersions, List.of(2L));
     assertEquals(keeper.current().services().keySet(), java.util.Set.of("new"));
   }
 
-  /** A version that this release can't read leaves the one before in force. */
+  /** Guards against losing the configuration when this release can't parse a new version. */
   @Test
   public void keepsTheOldVersionWhenTheNewOneIsUnreadable() {
     ConfigurationKeeper keeper = new ConfigurationKeeper(new EventLog("test"));
--- a/burdockbay-server/src/test/java/org/burdockbay/server/host/ControlThreadTest.java
+++ b/burdockbay-server/src/test/java/org/burdockbay/server/host/ControlThreadTest.java
@@ -10,18 +10,21 @@
 import org.burdockbay.server.logging.EventLog;
 import org.testng.annotations.Test;
 
-/** In which order a {@link ControlThread} runs what waits. */
+/** Tests the order in which {@link ControlThread} runs queued tasks. */
 public class ControlThreadTest {
 
   private static final long LATE_MILLIS = 2_000;
 
-  /** A host that was late called others lost whose heartbeats it hadn't handled yet. */
+  /**
+   * Guards against a delayed host considering other hosts lost. The tick that detects silence ran
+   * before the heartbeats that had been queued during the delay.
+   */
   @Test
   public void runsQueuedControlTasksBeforeTicksAndWorkAfterThem() throws Exception {
     final List<String> order = new CopyOnWriteArrayList<>();
     final AtomicLong now = new AtomicLong();
     final CountDownLatch ticked = new CountDownLatch(1);
-    final CountDownLatch held = new CountDownLatch(1);
+    final CountDownLatch blocked = new CountDownLatch(1);
     final CountDownLatch released = new CountDownLatch(1);
     final CountDownLatch done = new CountDownLatch(1);
     ControlThread thread = new ControlThread(now::get, new EventLog("test"), new MetricRegistry());
@@ -34,11 +37,11 @@
     ticked.await();
     thread.execute(
         () -> {
-          held.countDown();
+          blocked.countDown();
           await(released);
           order.clear();
         });
-    held.await();
+    blocked.await();
     thread.executeWork(() -> order.add("work"));
     thread.executeWork(done::countDown);
     thread.execute(() -> order.add("heartbeat"));
@@ -54,17 +57,17 @@
   public void runsDeferredTasksBeforeTheNextTaskAndAtTicks() throws Exception {
     final List<String> order = new CopyOnWriteArrayList<>();
     final AtomicLong now = new AtomicLong();
-    final CountDownLatch held = new CountDownLatch(1);
+    final CountDownLatch blocked = new CountDownLatch(1);
     final CountDownLatch released = new CountDownLatch(1);
     final CountDownLatch ticked = new CountDownLatch(1);
     ControlThread thread = new ControlThread(now::get, new EventLog("test"), new MetricRegistry());
     thread.start(() -> {}, () -> {});
     thread.execute(
         () -> {
-          held.countDown();
+          blocked.countDown();
           await(released);
         });
-    held.await();
+    blocked.await();
     thread.executeDeferred(() -> order.add("deferred"));
     thread.executeWork(() -> order.add("work"));
     final CountDownLatch done = new CountDownLatch(1);
--- a/burdockbay-server/src/test/java/org/burdockbay/server/node/HeartbeatScheduleTest.java
+++ b/burdockbay-server/src/test/java/org/burdockbay/server/node/HeartbeatScheduleTest.java
@@ -15,7 +15,8 @@
   private final HeartbeatSchedule schedule = new HeartbeatSchedule("b");
 
   /**
-   * Guards against a host going silent, and being taken for lost, when the reference host fails.
+   * Guards against a host sending no heartbeats, and being considered lost, when the reference host
+   * fails.
    */
   @Test
   public void sendsWithoutTheReferenceHost() {
@@ -26,7 +27,7 @@
     assertTrue(schedule.isDue(START + INTERVAL));
   }
 
-  /** Guards against heartbeats spread over the period, which take a wake-up each. */
+  /** Guards against heartbeats spread over the interval, each of which takes a wake-up. */
   @Test
   public void followsTheLowestLiveHostOnly() {
     schedule.recordSent(List.of("a", "c"), START);
--- a/burdockbay-server/src/test/java/org/burdockbay/server/node/HostGossipTest.java
+++ b/burdockbay-server/src/test/java/org/burdockbay/server/node/HostGossipTest.java
@@ -11,7 +11,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Which hosts others are told of. */
+/** Tests {@link HostGossip}. */
 public class HostGossipTest {
 
   private static final HostDescriptor SELF = descriptor("10.0.0.1");
@@ -22,7 +22,7 @@
   private HostDirectory directory;
   private HostGossip gossip;
 
-  /** Makes the gossip of a host that knows one other and has told it all. */
+  /** Creates the gossip of a host that knows one other host and has scheduled its whole list. */
   @BeforeMethod
   public void setUp() {
     directory = new HostDirectory(SELF);
@@ -32,7 +32,10 @@
     sentMessages.clear();
   }
 
-  /** Whole lists to all hosts every two seconds filled links as fleets grew. */
+  /**
+   * Guards against sending whole lists too often. Lists sent to all hosts every two seconds
+   * saturated links as fleets grew.
+   */
   @Test
   public void relaysOnlyNewHosts() {
     directory.add(NEW, 5);
@@ -62,7 +65,7 @@
     assertEquals(sentMessages.size(), 2);
   }
 
-  /** A host whose connection broke may have missed news. */
+  /** Guards against a host lacking descriptors that it missed while its connection was broken. */
   @Test
   public void sendsWholeListOnNewConnectionsAndPeriodically() {
     gossip.connected(OLD.id(), true);
--- a/burdockbay-server/src/test/java/org/burdockbay/server/node/OverloadedHostTest.java
+++ b/burdockbay-server/src/test/java/org/burdockbay/server/node/OverloadedHostTest.java
@@ -35,7 +35,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** What a host still does in time while more work reaches it than its processor carries. */
+/** Tests the timing of a host that receives more work than its processor can handle. */
 public class OverloadedHostTest {
 
   private static final String HOST = "127.0.0.1";
@@ -52,7 +52,7 @@
   private MetricRegistry registry;
   private NodeController node;
 
-  /** Starts a host whose control thread is held until {@link #release}. */
+  /** Starts a host whose control thread is blocked until {@link #release}. */
   @BeforeMethod
   public void setUp() throws Exception {
     blocked = new CountDownLatch(1);
@@ -89,36 +89,42 @@
     blocked.await();
   }
 
-  /** Ends its threads. */
+  /** Stops the threads of the host. */
   @AfterMethod
   public void tearDown() {
     node.close();
   }
 
-  /** Hosts that dispatched obeyed a configuration for seconds after its successor was agreed. */
+  /**
+   * Guards against delaying a new catalog behind queued work. Dispatching hosts applied an outdated
+   * configuration for seconds after its successor had been agreed.
+   */
   @Test
   public void putsCatalogInForceWhileDispatchEventsPileUp() throws Exception {
     final long begun = clock.millis();
     submitBacklog();
     node.messageReceived(OTHER, heartbeat());
     node.messageReceived(OTHER, catalog(NEW_VERSION));
-    long passed = release() - begun;
-    assertTrue(passed > 2 * IN_FORCE_TIMEOUT_MILLIS, "the backlog is too small: " + passed);
-    long late = inForceAt.get() - begun;
-    assertTrue(late <= IN_FORCE_TIMEOUT_MILLIS, "in force after " + late + " ms of " + passed);
+    long elapsed = release() - begun;
+    assertTrue(elapsed > 2 * IN_FORCE_TIMEOUT_MILLIS, "the backlog is too small: " + elapsed);
+    long delay = inForceAt.get() - begun;
+    assertTrue(delay <= IN_FORCE_TIMEOUT_MILLIS, "in force after " + delay + " ms of " + elapsed);
   }
 
-  /** The others called an overloaded host lost, and its role went round. */
+  /**
+   * Guards against delaying heartbeats behind queued work. Other hosts considered an overloaded
+   * host lost, and the dispatcher role moved from host to host.
+   */
   @Test
   public void sendsHeartbeatsWhileDispatchEventsPileUp() throws Exception {
     final long begun = clock.millis();
     final long before = heartbeatCount();
     submitBacklog();
-    long passed = release() - begun;
+    long elapsed = release() - begun;
     long sent = heartbeatCount() - before;
     assertTrue(
-        sent >= passed / LeaseTiming.ENTRY_HOST_SILENCE_TIMEOUT_MILLIS,
-        sent + " heartbeats in " + passed + " ms");
+        sent >= elapsed / LeaseTiming.ENTRY_HOST_SILENCE_TIMEOUT_MILLIS,
+        sent + " heartbeats in " + elapsed + " ms");
   }
 
   private void submitBacklog() {
@@ -127,7 +133,7 @@
     }
   }
 
-  /** Lets the control thread go on, and returns the time at which nothing waits any more. */
+  /** Unblocks the control thread, and returns the time at which its queue is empty. */
   private long release() throws Exception {
     released.countDown();
     node.inFlightCount().get(1, TimeUnit.MINUTES);
@@ -157,9 +163,9 @@
   }
 
   private static PeerMessage catalog(long version) {
-    CompressedCatalog packed = CompressedCatalog.of(version, "");
-    int size = packed.data().size();
-    return new PeerMessage.SendCatalogPart(new CatalogPart(version, size, 0, packed.data()));
+    CompressedCatalog compressed = CompressedCatalog.of(version, "");
+    int size = compressed.data().size();
+    return new PeerMessage.SendCatalogPart(new CatalogPart(version, size, 0, compressed.data()));
   }
 
   private static PeerMessage heartbeat() {
@@ -181,7 +187,7 @@
         LeaseTiming.ENTRY_HOST_SILENCE_TIMEOUT_MILLIS);
   }
 
-  /** A clock by which the control thread needs a millisecond from one reading to the next. */
+  /** A clock that advances by one millisecond on each reading by the control thread. */
   private static final class BusyClock implements Clock {
 
     private final AtomicLong time = new AtomicLong(1_000_000);
@@ -193,7 +199,7 @@
     }
   }
 
-  /** Upstreams that are never called, as none is known. */
+  /** Fails on every call, since no upstream is registered. */
   private static final class NoUpstreams implements UpstreamCalls {
 
     @Override
@@ -213,7 +219,7 @@
 
     @Override
     public void close() {
-      // Nothing is open.
+      // There is nothing to close.
     }
   }
 }
--- a/burdockbay-server/src/test/java/org/burdockbay/server/node/PeerSyncTrackerTest.java
+++ b/burdockbay-server/src/test/java/org/burdockbay/server/node/PeerSyncTrackerTest.java
@@ -14,7 +14,7 @@
   private static final List<String> HOSTS =
       IntStream.range(0, 50).mapToObj(i -> "10.0.0." + i).toList();
 
-  /** Guards against saturating the link of a restarted host with everything from every host. */
+  /** Guards against saturating the link of a restarted host with full syncs from all hosts. */
   @Test
   public void limitsFullSyncSendersAfterRestart() {
     for (String restarted : HOSTS) {
@@ -28,7 +28,7 @@
     assertTrue(new PeerSyncTracker(HOSTS.getLast(), true).sendsFullSync(HOSTS.getFirst(), HOSTS));
   }
 
-  /** Guards against sending everything again after a mere reconnection. */
+  /** Guards against a full sync after a mere reconnection. */
   @Test
   public void resendsOnlyNewsSinceTheLastContact() {
     PeerSyncTracker tracker = new PeerSyncTracker("a", true);
@@ -37,7 +37,7 @@
     assertEquals(tracker.connected("b", 1, 6_000), OptionalLong.of(4_400));
   }
 
-  /** Guards against missing upstreams on a host that restarts or loses its connection early. */
+  /** Guards against missing upstreams on a host that restarts or disconnects during a full sync. */
   @Test
   public void repeatsFullSyncUntilItHasArrived() {
     PeerSyncTracker tracker = new PeerSyncTracker("a", true);
--- a/burdockbay-server/src/test/java/org/burdockbay/server/node/UpstreamGossipTest.java
+++ b/burdockbay-server/src/test/java/org/burdockbay/server/node/UpstreamGossipTest.java
@@ -13,7 +13,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** What a {@link UpstreamGossip} passes on to the dispatcher. */
+/** Tests {@link UpstreamGossip}. */
 public class UpstreamGossipTest {
 
   private static final long MINUTE_MILLIS = 60_000;
@@ -22,7 +22,7 @@
   private List<PeerMessage> sentMessages;
   private UpstreamGossip gossip;
 
-  /** Makes a fleet that knows no upstream. */
+  /** Creates an instance without any upstreams. */
   @BeforeMethod
   public void createGossip() {
     events = new ArrayList<>();
@@ -31,9 +31,9 @@
   }
 
   /**
-   * All hosts with a disk lose power, and with them everybody whom upstreams announce themselves
-   * to. The upstreams still run tasks. Were they dropped for their silence, callers would be turned
-   * away until the hosts with a disk are back.
+   * Guards against refusing callers while all hosts with a disk are down. Upstreams announce
+   * themselves only to these hosts, and still run tasks during such an outage; removing them for
+   * their silence would leave no upstream to dispatch to.
    */
   @Test
   public void keepsUpstreamsWhileHostsWithDisksAreDown() {
@@ -44,7 +44,7 @@
     assertEquals(events, List.of(new LeaseEvent.Announced(announcement())));
   }
 
-  /** An upstream that is gone for good without a word is forgotten at last. */
+  /** Guards against retaining upstreams that failed permanently without announcing it. */
   @Test
   public void expiresUpstreamsAfterTheSilenceTimeout() {
     gossip.upstreamAnnounced(announcement(), 0);
@@ -52,7 +52,7 @@
     assertTrue(events.getLast() instanceof LeaseEvent.Departed);
   }
 
-  /** Guards against bytes and processor time that grow with hosts times upstreams. */
+  /** Guards against traffic and processor time proportional to hosts times upstreams. */
   @Test
   public void relaysRepeatedAnnouncementsAtLongIntervals() {
     for (int second = 0; second <= 60; second++) {
@@ -62,7 +62,7 @@
     assertEquals(sentMessages.size(), 2);
   }
 
-  /** Guards against tasks that go to an upstream which has said that it leaves. */
+  /** Guards against sending tasks to an upstream that has announced that it leaves. */
   @Test
   public void relaysLeavingUpstreamsImmediately() {
     gossip.upstreamAnnounced(announcement(), 0);
@@ -73,7 +73,7 @@
     assertTrue(last.announced().getFirst().notice().leaving());
   }
 
-  /** Guards against the loss of news that was in flight when a connection broke. */
+  /** Guards against losing news that was in flight when a connection broke. */
   @Test
   public void resendsNewsThatMayHaveBeenMissed() {
     gossip.upstreamAnnounced(announcement(), 0);
