--- a/burdockbay-server/src/test/java/org/burdockbay/server/http/HttpServerTest.java
+++ b/burdockbay-server/src/test/java/org/burdockbay/server/http/HttpServerTest.java
@@ -33,10 +33,10 @@
 import org.burdockbay.server.settings.HostSettings;
 import org.testng.annotations.Test;
 
-/** The HTTP server: TLS by settings, errors by the table, and addresses in use. */
+/** Tests TLS, problem details of errors, graceful stops and startup failures of the HTTP server. */
 public class HttpServerTest {
 
-  /** More than the kernel's buffers of a connection take. */
+  /** Exceeds the kernel's socket buffers of a connection. */
   private static final byte[] LARGE_RESPONSE = new byte[32 * 1024 * 1024];
 
   private static final int RECEIVE_BUFFER_BYTES = 4_096;
@@ -44,7 +44,7 @@
 
   private final CompletableFuture<Void> silentRequestArrived = new CompletableFuture<>();
 
-  /** With a certificate in the settings, callers reach the host over TLS and by no other way. */
+  /** Guards against a host with a certificate that serves no TLS, or plain HTTP as well. */
   @Test
   public void servesOverTls() throws Exception {
     HostSettings settings = settings(freePort(), resource("certificate.pem"), resource("key.pem"));
@@ -55,7 +55,7 @@
     }
   }
 
-  /** A refusal is a problem document with its kind; an unknown path is not found. */
+  /** Guards against errors and unknown paths that aren't reported as problem details. */
   @Test
   public void answersErrorsWithProblemDetails() throws Exception {
     HostSettings settings = settings(freePort(), "", "");
@@ -69,7 +69,7 @@
     }
   }
 
-  /** A planned stop cut off answers that were still being written. */
+  /** Guards against a planned stop that truncates responses still being written. */
   @Test
   public void writesWholeResponsesBeforeStopping() throws Exception {
     HostSettings settings = settings(freePort(), "", "");
@@ -89,27 +89,27 @@
     }
   }
 
-  /** A request that arrives during a planned stop must be refused, not cut off. */
+  /** Guards against a planned stop that drops new requests instead of rejecting them. */
   @Test
   public void refusesRequestsOnOpenConnectionsWhileStopping() throws Exception {
     HostSettings settings = settings(freePort(), "", "");
     try (HttpServer server = server(settings);
         Socket slow = new Socket();
-        Socket late = new Socket()) {
+        Socket second = new Socket()) {
       server.start();
       slow.setReceiveBufferSize(RECEIVE_BUFFER_BYTES);
       slow.connect(settings.httpAddress().toSocketAddress());
-      late.connect(settings.httpAddress().toSocketAddress());
+      second.connect(settings.httpAddress().toSocketAddress());
       send(slow, "GET /large HTTP/1.1");
       slow.getInputStream().readNBytes(RECEIVE_BUFFER_BYTES);
-      send(late, "GET /hello HTTP/1.1");
-      BufferedReader answers =
-          new BufferedReader(new InputStreamReader(late.getInputStream(), UTF_8));
-      assertEquals(answers.readLine(), "HTTP/1.1 200 OK");
+      send(second, "GET /hello HTTP/1.1");
+      BufferedReader responses =
+          new BufferedReader(new InputStreamReader(second.getInputStream(), UTF_8));
+      assertEquals(responses.readLine(), "HTTP/1.1 200 OK");
       final CompletableFuture<Void> stopped = CompletableFuture.runAsync(() -> server.stop(60_000));
       awaitClosedPort(settings);
-      send(late, "GET /hello HTTP/1.1");
-      String rest = answers.lines().collect(Collectors.joining("\n"));
+      send(second, "GET /hello HTTP/1.1");
+      String rest = responses.lines().collect(Collectors.joining("\n"));
       assertTrue(rest.contains("HTTP/1.1 503 Service Unavailable\n"), rest);
       assertTrue(rest.contains("Retry-After: 1\n"), rest);
       assertTrue(rest.contains("\"type\":\"urn:burdockbay:error:refused\""), rest);
@@ -118,7 +118,7 @@
     }
   }
 
-  /** A planned stop must end although a request is never answered. */
+  /** Guards against a planned stop that never ends because a request is never answered. */
   @Test
   public void stopsDespiteUnansweredRequests() throws Exception {
     HostSettings settings = settings(freePort(), "", "");
@@ -135,7 +135,7 @@
     }
   }
 
-  /** A port that another process uses is named in one line. */
+  /** Guards against a startup error that doesn't name the address in use. */
   @Test
   public void reportsAddressesInUse() throws Exception {
     try (ServerSocket other = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
@@ -147,7 +147,7 @@
     }
   }
 
-  /** A key file that is no key is named before anything starts. */
+  /** Guards against an unusable key file that isn't reported before the server starts. */
   @Test
   public void reportsUnusableKeyFiles() throws Exception {
     HostSettings settings =
@@ -184,7 +184,7 @@
     caller.getOutputStream().write(request.getBytes(UTF_8));
   }
 
-  /** Waits until the server takes no more connections. */
+  /** Waits until the server accepts no more connections. */
   private static void awaitClosedPort(HostSettings settings) throws InterruptedException {
     while (true) {
       try (Socket socket = new Socket()) {
--- a/burdockbay-server/src/test/java/org/burdockbay/server/transport/CatalogCodecTest.java
+++ b/burdockbay-server/src/test/java/org/burdockbay/server/transport/CatalogCodecTest.java
@@ -26,7 +26,7 @@
     assertEquals(PeerCodec.decode(PeerCodec.encode(part)), part);
   }
 
-  /** Guards against losing the catalog when the log was written by an earlier release. */
+  /** Guards against losing a catalog that an earlier release has logged as plain text. */
   @Test
   public void readsCatalogsThatWereLoggedAsText() throws Exception {
     ControlCommand publish = new ControlCommand.PublishCatalog(CATALOG);
--- a/burdockbay-server/src/test/java/org/burdockbay/server/transport/HeartbeatCodecTest.java
+++ b/burdockbay-server/src/test/java/org/burdockbay/server/transport/HeartbeatCodecTest.java
@@ -11,10 +11,10 @@
 import org.burdockbay.wire.PeerCodec;
 import org.testng.annotations.Test;
 
-/** What of a heartbeat reaches the other host. */
+/** Tests the encoding of heartbeats in peer messages. */
 public class HeartbeatCodecTest {
 
-  /** A field that is lost on the way would make hosts elect dispatchers by different rules. */
+  /** Guards against lost fields, which would make hosts elect dispatchers from different data. */
   @Test
   public void keepsEveryFieldOfHeartbeats() throws Exception {
     HostStatus status =
--- a/burdockbay-server/src/test/java/org/burdockbay/server/transport/InboundHandlerTest.java
+++ b/burdockbay-server/src/test/java/org/burdockbay/server/transport/InboundHandlerTest.java
@@ -16,7 +16,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** What the accepting end of a connection passes on. */
+/** Tests which messages the accepting end of a connection passes on. */
 public class InboundHandlerTest {
 
   private static final long MAX_GAP_MILLIS = 450;
@@ -27,7 +27,7 @@
   private EmbeddedChannel channel;
   private long now;
 
-  /** Connects a host that has proved itself. */
+  /** Connects and authenticates another host. */
   @BeforeMethod
   public void setUp() {
     now = 10_000;
@@ -50,7 +50,7 @@
     assertEquals(authenticatedHosts, List.of("10.0.0.2"));
   }
 
-  /** Heartbeats that come a little late are believed. */
+  /** Guards against closing a connection whose heartbeats are delayed by less than the limit. */
   @Test
   public void passesOnMessagesWithinTheGap() {
     now += MAX_GAP_MILLIS;
@@ -62,9 +62,10 @@
   }
 
   /**
-   * A partition heals after seconds, and the network delivers what was sent before it. A heartbeat
-   * from before its sender had the dispatcher role made the other dispatcher claim the role again,
-   * which cost both sides the work under way; old work would start after it was refused.
+   * Guards against outdated messages after a partition: the network delivers messages that were
+   * sent before it. A heartbeat from before its sender became dispatcher made the other dispatcher
+   * claim the role again, and both lost their work in progress. Old work would start after its
+   * refusal.
    */
   @Test
   public void dropsMessagesAfterLongGaps() {
@@ -89,7 +90,7 @@
 
     @Override
     public void connectionOpened(String host) {
-      // Nothing is sent back here.
+      // This test sends nothing back.
     }
   }
 }
--- a/burdockbay-server/src/test/java/org/burdockbay/server/web/WebListenerTest.java
+++ b/burdockbay-server/src/test/java/org/burdockbay/server/web/WebListenerTest.java
@@ -19,13 +19,13 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** What a planned stop learns from a listener about the requests in flight. */
+/** Tests how a listener counts requests in flight and closes connections during a planned stop. */
 public class WebListenerTest {
 
   private static final int RECEIVE_BUFFER_BYTES = 4_096;
   private static final long POLL_INTERVAL_MILLIS = 5;
 
-  /** More than the kernel's buffers of a connection take. */
+  /** Exceeds the kernel's socket buffers of a connection. */
   private static final String LARGE_RESPONSE = "x".repeat(32 * 1024 * 1024);
 
   private final BlockingQueue<WebExchange> openExchanges = new LinkedBlockingQueue<>();
@@ -33,7 +33,7 @@
   private HostAddress address;
   private WebListener listener;
 
-  /** Starts a listener whose requests are answered by the test. */
+  /** Starts a listener that leaves responses to the test. */
   @BeforeMethod
   public void listen() throws Exception {
     loops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -47,14 +47,17 @@
     listener.start();
   }
 
-  /** Stops everything. */
+  /** Stops the listener and its event loops. */
   @AfterMethod(alwaysRun = true)
   public void close() {
     listener.close();
     loops.shutdownGracefully().awaitUninterruptibly();
   }
 
-  /** A planned stop cut off answers whose requests counted as done before they were written. */
+  /**
+   * Guards against truncated responses: requests counted as done before their responses were
+   * written.
+   */
   @Test
   public void countsRequestsUntilTheirResponsesAreWritten() throws Exception {
     try (Socket caller = new Socket()) {
@@ -71,7 +74,10 @@
     }
   }
 
-  /** A planned stop took connections for idle while their last answer was being written. */
+  /**
+   * Guards against truncated responses: connections counted as idle while a response was being
+   * written.
+   */
   @Test
   public void writesWholeResponsesBeforeClosingIdleConnections() throws Exception {
     try (Socket caller = new Socket()) {
@@ -87,7 +93,7 @@
     }
   }
 
-  /** A planned stop must not wait for callers that have left. */
+  /** Guards against a planned stop that waits for callers that have closed their connections. */
   @Test
   public void stopsCountingRequestsOfClosedConnections() throws Exception {
     try (Socket caller = new Socket()) {
