--- a/burdockbay-server/src/main/java/org/burdockbay/server/logging/BoundedConsoleWriter.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/logging/BoundedConsoleWriter.java
@@ -14,15 +14,15 @@
 import org.tinylog.writers.AbstractFormatPatternWriter;
 
 /**
- * Writes log lines to standard output on a thread of its own, through a queue with a bound.
+ * Writes log lines to standard output on a separate thread, through a bounded queue.
  *
- * <p>Whoever logs never waits: when standard output is slower than the lines that come, lines are
- * dropped, and the next line that is written says how many. The name for the logging library's
- * configuration is {@code bounded console}.
+ * <p>Logging never blocks: when the queue is full, lines are dropped, and a line with their number
+ * follows the next lines that are written. The logging library's configuration refers to this
+ * writer as {@code bounded console}.
  */
 public final class BoundedConsoleWriter extends AbstractFormatPatternWriter {
 
-  /** Lines that may wait; at 200 bytes each they take less than a megabyte. */
+  /** Capacity of the queue; at 200 bytes a line the queue takes less than a megabyte. */
   private static final int MAX_QUEUED_LINES = 4_096;
 
   private static final int MAX_BATCH_LINES = 256;
@@ -32,7 +32,7 @@
   private final PrintStream out = System.out;
   private final Thread thread;
 
-  /** Creates the writer with the properties of the logging library's configuration. */
+  /** Creates a writer from its properties in the logging library's configuration. */
   public BoundedConsoleWriter(Map<String, String> properties) {
     super(properties);
     thread = Thread.ofPlatform().daemon().name("log-lines").start(this::run);
--- a/burdockbay-server/src/main/java/org/burdockbay/server/logging/EventLog.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/logging/EventLog.java
@@ -3,35 +3,35 @@
 import org.tinylog.Logger;
 
 /**
- * Writes events as one line of key=value pairs.
+ * Logs events as single lines of key=value pairs.
  *
- * <p>Payloads, answers and credentials never go into a line.
+ * <p>Callers must not pass payloads, answers or credentials.
  */
 public final class EventLog {
 
   private final String host;
 
-  /** Creates a log whose lines name the given host. */
+  /** Creates a log that adds the given host id to each line. */
   public EventLog(String host) {
     this.host = host;
   }
 
-  /** Writes an event of ordinary operation; {@code fields} are key=value pairs. */
+  /** Logs an event of normal operation; {@code fields} are key=value pairs. */
   public void info(String event, String fields) {
     Logger.info(formatLine(event, fields));
   }
 
-  /** Writes an event that an operator should look at. */
+  /** Logs an event that may need the attention of an operator. */
   public void warn(String event, String fields) {
     Logger.warn(formatLine(event, fields));
   }
 
-  /** Writes a failure with its cause. */
+  /** Logs a failure with its cause. */
   public void error(String event, String fields, Throwable cause) {
     Logger.error(cause, formatLine(event, fields));
   }
 
-  /** Returns a value that contains blanks as one quoted word. */
+  /** Quotes a value that contains blanks; double quotes and line feeds in it are replaced. */
   public static String quote(String value) {
     return '"' + value.replace('"', '\'').replace('\n', ' ') + '"';
   }
--- a/burdockbay-server/src/main/java/org/burdockbay/server/logging/package-info.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/logging/package-info.java
@@ -1,2 +1,2 @@
-/** Structured logs: one line of key=value pairs for each event. */
+/** Structured logging: one line of key=value pairs per event. */
 package org.burdockbay.server.logging;
--- a/burdockbay-server/src/main/java/org/burdockbay/server/metrics/HostMetrics.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/metrics/HostMetrics.java
@@ -6,17 +6,17 @@
 import java.util.Map;
 import org.burdockbay.core.submission.JobOutcome;
 
-/** Response times for each caller and kind of job, and the count of each outcome. */
+/** Records response times and outcomes of jobs and work, and counts events. */
 public final class HostMetrics {
 
-  /** Prefix of the response time histograms, in milliseconds. */
+  /** Prefix of the names of the response time histograms, whose values are in milliseconds. */
   public static final String RESPONSE_PREFIX = "response";
 
   private static final String OUTCOME_PREFIX = "outcome";
 
   private final MetricRegistry registry;
 
-  /** Creates metrics in the given registry. */
+  /** Creates metrics that are registered in the given registry. */
   public HostMetrics(MetricRegistry registry) {
     this.registry = registry;
   }
@@ -26,24 +26,24 @@
     return registry;
   }
 
-  /** Records an answered job. */
+  /** Records the outcome of a job and its response time in milliseconds. */
   public void recordJob(String caller, String job, JobOutcome outcome, long millis) {
     registry.histogram(MetricRegistry.name(RESPONSE_PREFIX, caller, job)).update(millis);
     registry.counter(MetricRegistry.name(OUTCOME_PREFIX, caller, outcome.code())).inc();
   }
 
-  /** Records answered work of a queue. */
+  /** Records the outcome of work of a queue and its response time in milliseconds. */
   public void recordWork(String queue, String outcome, long millis) {
     registry.histogram(MetricRegistry.name(RESPONSE_PREFIX, "queue", queue)).update(millis);
     registry.counter(MetricRegistry.name(OUTCOME_PREFIX, "queue", queue, outcome)).inc();
   }
 
-  /** Counts an event of the core by its name. */
+  /** Counts an event by its name. */
   public void countEvent(String name) {
     registry.counter(MetricRegistry.name("event", name)).inc();
   }
 
-  /** Returns a summary of each response time histogram, by caller and kind of job. */
+  /** Returns a summary of each response time histogram, by name without the prefix. */
   public Map<String, Map<String, Object>> responseTimes() {
     Map<String, Map<String, Object>> summaries = new LinkedHashMap<>();
     registry
--- a/burdockbay-server/src/main/java/org/burdockbay/server/metrics/MetricsTextFormat.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/metrics/MetricsTextFormat.java
@@ -5,14 +5,14 @@
 import com.codahale.metrics.Snapshot;
 import java.util.Locale;
 
-/** Writes a registry in the common text format for scraping. */
+/** Formats the metrics of a registry as text for scraping. */
 public final class MetricsTextFormat {
 
   private static final double[] QUANTILES = {0.5, 0.9, 0.99, 0.999};
 
   private MetricsTextFormat() {}
 
-  /** Returns the text of all metrics. */
+  /** Returns all counters, meters, numeric gauges and histograms, one value per line. */
   public static String format(MetricRegistry registry) {
     StringBuilder text = new StringBuilder();
     registry
--- a/burdockbay-server/src/main/java/org/burdockbay/server/metrics/WaitMeter.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/metrics/WaitMeter.java
@@ -5,16 +5,16 @@
 import org.burdockbay.server.logging.EventLog;
 
 /**
- * Measures how long tasks wait for a thread, and says so in the log when it is long.
+ * Records how long tasks wait for a thread, and logs a warning about long waits.
  *
- * <p>Used by the thread that is measured only.
+ * <p>Not thread-safe: only the measured thread may use it.
  */
 public final class WaitMeter {
 
-  /** A longer wait is logged, in milliseconds; a heartbeat is due every 150 ms. */
+  /** Longer waits are logged; a heartbeat is due every 150 ms. */
   private static final long WARNING_THRESHOLD_MILLIS = 200;
 
-  /** Time between two lines, in milliseconds. */
+  /** Minimum interval between two warnings. */
   private static final long WARNING_INTERVAL_MILLIS = 1_000;
 
   private final Histogram waits;
@@ -25,8 +25,8 @@
   /**
    * Creates a meter.
    *
-   * @param name the name of the histogram, in milliseconds
-   * @param event the name of the log line
+   * @param name name of the histogram, whose values are in milliseconds
+   * @param event event name of the warnings
    */
   public WaitMeter(MetricRegistry registry, String name, EventLog log, String event) {
     this.waits = registry.histogram(name);
@@ -37,14 +37,15 @@
   /**
    * Records a wait.
    *
-   * @param millis the wait, in milliseconds
-   * @param waiting the number of tasks that wait now
+   * @param waitMillis duration of the wait
+   * @param waitingTasks number of tasks that are waiting now
+   * @param now current time in milliseconds
    */
-  public void recordWait(long millis, int waiting, long now) {
-    waits.update(millis);
-    if (millis > WARNING_THRESHOLD_MILLIS && now >= nextWarningAt) {
+  public void recordWait(long waitMillis, int waitingTasks, long now) {
+    waits.update(waitMillis);
+    if (waitMillis > WARNING_THRESHOLD_MILLIS && now >= nextWarningAt) {
       nextWarningAt = now + WARNING_INTERVAL_MILLIS;
-      log.warn(event, "wait=" + millis + " waiting=" + waiting);
+      log.warn(event, "wait=" + waitMillis + " waiting=" + waitingTasks);
     }
   }
 }
--- a/burdockbay-server/src/main/java/org/burdockbay/server/metrics/package-info.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/metrics/package-info.java
@@ -1,2 +1,2 @@
-/** Histograms and counters, and their text form for scraping. */
+/** Metrics of a host and their text format for scraping. */
 package org.burdockbay.server.metrics;
--- a/burdockbay-server/src/main/java/org/burdockbay/server/settings/HostAddress.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/settings/HostAddress.java
@@ -2,11 +2,11 @@
 
 import java.net.InetSocketAddress;
 
-/** An IP number and a port. */
+/** An IP address and a port. */
 public record HostAddress(String ip, int port) {
 
   /**
-   * Reads an address of the form {@code ip:port}.
+   * Parses an address of the form {@code ip:port}.
    *
    * @throws IllegalArgumentException if the text has another form
    */
@@ -18,7 +18,7 @@
     return new HostAddress(text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
   }
 
-  /** Returns the address for a socket. */
+  /** Returns this address as a socket address. */
   public InetSocketAddress toSocketAddress() {
     return new InetSocketAddress(ip, port);
   }
--- a/burdockbay-server/src/main/java/org/burdockbay/server/settings/HostSettings.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/settings/HostSettings.java
@@ -20,17 +20,17 @@
  * The validated settings of one host.
  *
  * @param id id of the host
- * @param domain its failure domain
+ * @param domain failure domain of the host
  * @param cluster name of the cluster
- * @param secret secret that the hosts share
- * @param peerAddress where other hosts connect
- * @param httpAddress where callers, runners and operators connect
+ * @param secret secret shared by the hosts of the cluster
+ * @param peerAddress listen address for other hosts
+ * @param httpAddress listen address for callers, runners and operators
  * @param operatorToken bearer credential of operators
  * @param runnerToken bearer credential of runners
- * @param dataFolder data folder, on a host with a disk
- * @param tls certificate and key, where HTTPS is on
- * @param limits limits on what callers send
- * @param drainTimeoutMillis longest wait of a planned stop, in milliseconds
+ * @param dataFolder data folder; empty on a host without a disk
+ * @param tls certificate and key; empty for plain HTTP
+ * @param limits limits on the requests of callers
+ * @param drainTimeoutMillis maximum time for which a planned stop waits for requests in flight
  * @param peers the other hosts
  */
 public record HostSettings(
@@ -48,16 +48,22 @@
     long drainTimeoutMillis,
     List<PeerSettings> peers) {
 
-  /** Certificate chain and private key, both PEM. */
+  /** PEM files of the certificate chain and the private key. */
   public record TlsFiles(Path certificate, Path key) {}
 
-  /** Limits on what callers send. */
+  /**
+   * Limits on the requests of callers.
+   *
+   * @param maxOpenRequests maximum number of requests that wait at the same time
+   * @param maxBodyBytes maximum size of the body of a request
+   */
   public record RequestLimits(int maxOpenRequests, int maxBodyBytes) {}
 
   /**
    * Reads and validates a settings file.
    *
-   * @throws ConfigurationException with every problem, each naming file, line and field
+   * @throws ConfigurationException if the file can't be read or is invalid; lists every problem
+   *     with file, line and field
    */
   public static HostSettings read(Path file) throws ConfigurationException {
     String text;
@@ -71,9 +77,11 @@
   }
 
   /**
-   * Validates settings.
+   * Parses and validates the text of a settings file.
    *
-   * @throws ConfigurationException with every problem, each naming file, line and field
+   * @param file name of the file, for problems
+   * @throws ConfigurationException if the text is invalid; lists every problem with file, line and
+   *     field
    */
   public static HostSettings parse(String file, String text) throws ConfigurationException {
     List<Problem> problems = new ArrayList<>();
@@ -94,7 +102,7 @@
     return createSettings(host.orElseThrow(), sections);
   }
 
-  /** Returns the failure domain of every host, this one included. */
+  /** Returns the failure domain of each host by host id, including this host. */
   public Map<String, String> domainByHost() {
     Map<String, String> domains = new TreeMap<>();
     domains.put(id, domain);
@@ -102,7 +110,7 @@
     return domains;
   }
 
-  /** Returns the ids of the hosts that take part in the agreement. */
+  /** Returns the sorted ids of the hosts that are configured as Raft voters. */
   public List<String> voterIds() {
     List<String> voters = new ArrayList<>();
     if (dataFolder.isPresent()) {
@@ -126,7 +134,8 @@
         problems.add(section.problem(key, "the address " + section.text(key) + " is given twice"));
       }
       if (self && section.text("tls-certificate").isEmpty() != section.text("tls-key").isEmpty()) {
-        problems.add(section.problem("tls-key", "certificate and key go together"));
+        problems.add(
+            section.problem("tls-key", "tls-certificate and tls-key must be set together"));
       }
     }
   }
--- a/burdockbay-server/src/main/java/org/burdockbay/server/settings/HostSettingsSchema.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/settings/HostSettingsSchema.java
@@ -8,14 +8,14 @@
 import org.burdockbay.core.configuration.SectionDefinition;
 import org.burdockbay.core.configuration.SettingDefinition;
 
-/** The schema of a host's settings file. */
+/** Defines the schema of the settings file of a host. */
 public final class HostSettingsSchema {
 
   private static final String ADDRESS_PATTERN = "\\d{1,3}(\\.\\d{1,3}){3}:\\d{1,5}";
   private static final String ADDRESS_HELP = "an IPv4 number and a port, as 10.0.0.1:7100";
   private static final String NAME_HELP = "a name of letters, digits, dots, dashes, underscores";
 
-  /** The sections of the file. */
+  /** The schema with the sections of this host and its peers. */
   public static final DocumentSchema SCHEMA = DocumentSchema.of(hostSection(), peerSection());
 
   private HostSettingsSchema() {}
--- a/burdockbay-server/src/main/java/org/burdockbay/server/settings/PeerSettings.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/settings/PeerSettings.java
@@ -1,11 +1,11 @@
 package org.burdockbay.server.settings;
 
 /**
- * Another host.
+ * The settings of another host.
  *
- * @param id its id
- * @param domain its failure domain
- * @param address where it listens for other hosts
- * @param voter whether it takes part in the agreement
+ * @param id id of the host
+ * @param domain failure domain of the host
+ * @param address listen address for other hosts
+ * @param voter whether the host is a Raft voter
  */
 public record PeerSettings(String id, String domain, HostAddress address, boolean voter) {}
--- a/burdockbay-server/src/main/java/org/burdockbay/server/settings/package-info.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/settings/package-info.java
@@ -1,2 +1,2 @@
-/** The settings of one host: who it is, where it listens, its peers, its data folder. */
+/** The settings of a host: its identity, addresses, limits, data folder and peers. */
 package org.burdockbay.server.settings;
--- a/burdockbay-server/src/main/java/org/burdockbay/server/storage/DataFolder.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/storage/DataFolder.java
@@ -11,14 +11,14 @@
 import org.burdockbay.wire.proto.Wire;
 
 /**
- * One data folder with its identity and its lock.
+ * An open data folder of a host, locked for this process.
  *
- * <p>The identity holds the incarnation, a number made when the folder is created. A wiped disk
- * gets a new one and so is a new voter.
+ * <p>The identity file records cluster, host and incarnation. The incarnation is generated when the
+ * folder is created, so a host whose disk was wiped joins as a new voter.
  */
 public final class DataFolder implements AutoCloseable {
 
-  /** Incarnation of the folders with which a cluster is created by hand. */
+  /** Incarnation of the folders that an operator creates for a new cluster. */
   public static final long BOOTSTRAP_INCARNATION = 1;
 
   private static final int FORMAT_VERSION = 1;
@@ -37,22 +37,23 @@
   }
 
   /**
-   * Creates the folder of a first voter of a new cluster.
+   * Creates the data folder of an initial voter of a new cluster.
    *
-   * @throws StorageException if the folder exists already
+   * @throws StorageException if the folder is already initialised or can't be created
    */
   public static DataFolder bootstrap(Path path, String cluster, String host)
       throws StorageException {
     if (FileDisk.INSTANCE.exists(path.resolve(IDENTITY_FILE))) {
-      throw new StorageException(Fault.FOREIGN, path + " is in use already; not initialised again");
+      throw new StorageException(Fault.FOREIGN, path + " is already initialised");
     }
     return openOrCreate(FileDisk.INSTANCE, path, cluster, host, BOOTSTRAP_INCARNATION);
   }
 
   /**
-   * Opens the folder, or creates it with a new incarnation.
+   * Opens the folder, or creates it with a new incarnation if it has no identity.
    *
-   * @throws StorageException if it belongs to another host or another process uses it
+   * @throws StorageException if the folder belongs to another host or cluster, is in use by another
+   *     process, or can't be read or created
    */
   public static DataFolder open(Path path, String cluster, String host) throws StorageException {
     return open(FileDisk.INSTANCE, path, cluster, host);
@@ -65,25 +66,26 @@
   }
 
   /**
-   * Moves the content of a corrupt folder aside, so that the host starts over as a learner.
+   * Renames a corrupt folder, so that the host starts with an empty one as a learner.
    *
-   * @throws StorageException if it can't be moved
+   * @return the new path of the corrupt folder
+   * @throws StorageException if the folder can't be renamed
    */
   public static Path setAside(Path path) throws StorageException {
     Path aside = path.resolveSibling(path.getFileName() + ".corrupt-" + System.currentTimeMillis());
     try {
       return Files.move(path, aside, StandardCopyOption.ATOMIC_MOVE);
     } catch (IOException e) {
-      throw new StorageException(Fault.FAILED, path + " can't be set aside", e);
+      throw new StorageException(Fault.FAILED, path + " can't be renamed to set it aside", e);
     }
   }
 
-  /** Returns the incarnation. */
+  /** Returns the incarnation of the folder. */
   public long incarnation() {
     return identity.getIncarnation();
   }
 
-  /** Returns the folder of an agreement group. */
+  /** Returns the path of the folder of a Raft group. */
   public Path groupFolder(int number) {
     return path.resolve("group-" + number);
   }
@@ -111,7 +113,7 @@
       if (!disk.exists(file)) {
         createIdentity(disk, path, file, cluster, host, newIncarnation);
       }
-      // A process that was killed may have created the identity without syncing its name.
+      // A killed process may have created the identity file without syncing its directory entry.
       disk.syncFolder(path);
       return new DataFolder(path, lock, readIdentity(disk, file, cluster, host));
     } catch (IOException e) {
@@ -125,7 +127,7 @@
     if (!disk.list(path).stream()
         .map(Path::getFileName)
         .allMatch(DataFolder::isLeftoverOfCreation)) {
-      throw new StorageException(Fault.FOREIGN, path + " is not empty and has no identity");
+      throw new StorageException(Fault.FOREIGN, path + " is not empty and has no identity file");
     }
     disk.syncFolder(path.toAbsolutePath().getParent());
     Wire.FolderIdentity identity =
@@ -138,7 +140,7 @@
     RecordFile.replaceAtomically(disk, file, identity.toByteArray());
   }
 
-  /** Returns whether a creation that was cut short leaves a file of this name. */
+  /** Returns whether an interrupted creation may leave a file of this name. */
   private static boolean isLeftoverOfCreation(Path name) {
     return name.equals(Path.of(LOCK_FILE)) || name.equals(Path.of(IDENTITY_TEMP_FILE));
   }
@@ -147,18 +149,19 @@
       throws StorageException {
     RecordFile.Content content = RecordFile.read(disk, file);
     if (content.records().size() != 1) {
-      throw new StorageException(Fault.CORRUPT, file + " holds no identity");
+      throw new StorageException(
+          Fault.CORRUPT, file + " doesn't contain exactly one identity record");
     }
     Wire.FolderIdentity identity;
     try {
       identity = Wire.FolderIdentity.parseFrom(content.records().getFirst());
     } catch (InvalidProtocolBufferException e) {
-      throw new StorageException(Fault.CORRUPT, file + " holds no identity", e);
+      throw new StorageException(Fault.CORRUPT, file + " contains a malformed identity record", e);
     }
     if (identity.getFormat() != FORMAT_VERSION) {
       throw new StorageException(
           Fault.FOREIGN,
-          file + " has format " + identity.getFormat() + "; known is " + FORMAT_VERSION);
+          file + " has format " + identity.getFormat() + "; expected format " + FORMAT_VERSION);
     }
     if (!identity.getCluster().equals(cluster) || !identity.getHost().equals(host)) {
       throw new StorageException(
@@ -168,9 +171,9 @@
               + identity.getHost()
               + " of cluster "
               + identity.getCluster()
-              + ", not to "
+              + ", not to host "
               + host
-              + " of "
+              + " of cluster "
               + cluster);
     }
     return identity;
--- a/burdockbay-server/src/main/java/org/burdockbay/server/storage/EpochFile.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/storage/EpochFile.java
@@ -8,12 +8,13 @@
 import org.burdockbay.server.storage.StorageException.Fault;
 
 /**
- * The highest epoch of a dispatcher and the largest layout that a host with a disk has seen.
+ * Stores the highest dispatcher epoch and the largest shard layout that a host has seen.
  *
- * <p>Upstreams remember the highest epoch that they have seen and refuse all below. Hosts learn it
- * from each other; after all of them were killed, only a disk tells it, and the first dispatcher
- * would otherwise be refused until it has outbid what it doesn't know. In the same way one host
- * would otherwise dispatch the whole of a large fleet until enough upstreams have been heard of.
+ * <p>Upstreams remember the highest epoch that they have seen and refuse lower ones. Hosts learn it
+ * from each other, so after all of them were killed it survives only on disk. Without it, upstreams
+ * would refuse the first dispatcher until it had superseded an epoch that it doesn't know. In the
+ * same way, without the layout, one host would dispatch for the whole of a large fleet until enough
+ * upstreams had been discovered.
  */
 public final class EpochFile {
 
@@ -22,7 +23,7 @@
   private final Disk disk;
   private final Path file;
 
-  /** Names the file in a data folder, which is opened before the file is read. */
+  /** Creates an accessor for the file of a data folder; the folder must be open before use. */
   public EpochFile(Path folder) {
     this(FileDisk.INSTANCE, folder);
   }
@@ -33,21 +34,23 @@
   }
 
   /**
-   * What is kept.
+   * The stored epoch and layout.
    *
-   * @param epoch the highest epoch; 0 if none was seen
-   * @param layout the largest layout
+   * @param epoch the highest epoch seen; 0 if none was seen
+   * @param layout the largest shard layout seen
    */
   public record Content(long epoch, ShardLayout layout) {
 
-    /** What a host knows that has saved nothing. */
+    /** Content of a missing file. */
     public static final Content NONE = new Content(0, ShardLayout.UNDIVIDED);
   }
 
   /**
-   * Returns what was saved; a file of earlier versions holds the epoch alone.
+   * Reads the stored epoch and layout, or {@link Content#NONE} if the file doesn't exist.
    *
-   * @throws StorageException if the file is there and can't be read
+   * <p>Files of earlier versions contain only the epoch.
+   *
+   * @throws StorageException if the file exists but is corrupt or can't be read
    */
   public Content read() throws StorageException {
     if (!disk.exists(file)) {
@@ -55,27 +58,32 @@
     }
     List<byte[]> records = RecordFile.read(disk, file).records();
     if (records.size() != 1) {
-      throw new StorageException(Fault.CORRUPT, file + " holds " + records.size() + " records");
+      throw new StorageException(
+          Fault.CORRUPT, file + " contains " + records.size() + " records; expected 1");
     }
     ByteBuffer record = ByteBuffer.wrap(records.getFirst());
     return switch (record.remaining()) {
       case Long.BYTES -> new Content(record.getLong(), ShardLayout.UNDIVIDED);
       case Long.BYTES + Integer.BYTES -> new Content(record.getLong(), toLayout(record.getInt()));
-      default -> throw new StorageException(Fault.CORRUPT, file + " holds no epoch");
+      default ->
+          throw new StorageException(
+              Fault.CORRUPT, file + " contains a record of unexpected length");
     };
   }
 
   private ShardLayout toLayout(int shardsPerDomain) throws StorageException {
     if (shardsPerDomain < 0) {
-      throw new StorageException(Fault.CORRUPT, file + " holds " + shardsPerDomain + " shards");
+      throw new StorageException(
+          Fault.CORRUPT,
+          file + " contains an invalid layout: " + shardsPerDomain + " shards per domain");
     }
     return new ShardLayout(shardsPerDomain);
   }
 
   /**
-   * Saves epoch and layout and waits for the disk.
+   * Replaces the stored epoch and layout; they are durable when this method returns.
    *
-   * @throws StorageException if it can't be saved
+   * @throws StorageException if the file can't be written
    */
   public void write(Content content) throws StorageException {
     ByteBuffer record = ByteBuffer.allocate(Long.BYTES + Integer.BYTES);
--- a/burdockbay-server/src/main/java/org/burdockbay/server/storage/FileDisk.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/storage/FileDisk.java
@@ -14,7 +14,7 @@
 import java.util.Optional;
 import java.util.stream.Stream;
 
-/** The disk of the operating system. */
+/** Implements {@link Disk} on the file system of the operating system. */
 enum FileDisk implements Disk {
   INSTANCE;
 
--- a/burdockbay-server/src/main/java/org/burdockbay/server/storage/LogGap.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/storage/LogGap.java
@@ -1,12 +1,14 @@
 package org.burdockbay.server.storage;
 
 /**
- * A segment that doesn't follow the last entry read before it. A snapshot that replaced the log
- * leaves one, and so does the removal of older segments.
+ * A discontinuity between the entries read so far and the next segment.
  *
- * @param lastIndex the last entry read before the segment
- * @param lastTerm its term
- * @param baseIndex the entry that the segment follows
- * @param baseTerm its term
+ * <p>It is expected after a snapshot that replaced the log and after the deletion of older
+ * segments.
+ *
+ * @param lastIndex index of the last entry read before the segment
+ * @param lastTerm term of the last entry read before the segment
+ * @param baseIndex index of the entry that precedes the segment
+ * @param baseTerm term of the entry that precedes the segment
  */
 public record LogGap(long lastIndex, long lastTerm, long baseIndex, long baseTerm) {}
--- a/burdockbay-server/src/main/java/org/burdockbay/server/storage/LogStore.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/storage/LogStore.java
@@ -21,22 +21,22 @@
 import org.burdockbay.wire.WireException;
 
 /**
- * The files of one agreement group: segments of log records, and the newest snapshot.
+ * Stores the state of one Raft group in files: segments of log records and the newest snapshot.
  *
- * <p>A segment begins with the entry that it follows and the current term and vote, so segments
- * before it can be deleted once a snapshot covers their entries. After a failed write or sync
- * nothing more is written: the kernel may have dropped the pages, so a second sync that succeeds
- * would prove nothing.
+ * <p>A segment starts with the position of the entry before it and the current hard state, so
+ * earlier segments can be deleted once a snapshot covers their entries. After a failed write or
+ * sync the store refuses further writes: the kernel may have dropped the dirty pages, so a later
+ * successful sync would not prove that the data is durable.
  *
- * <p>At most one write is unsynced at any time. Of several, a power loss may take an earlier one
- * and keep a later one, which can't be told from corruption of synced records.
+ * <p>At most one write is unsynced at any time. With several, a power loss could lose an earlier
+ * write and keep a later one, which is indistinguishable from corruption of synced records.
  */
 public final class LogStore implements AutoCloseable {
 
   private static final String SEGMENT_PREFIX = "segment-";
   private static final String SNAPSHOT_FILE = "snapshot";
 
-  /** Size at which buffered records are written, in bytes; bounds the memory of a write. */
+  /** Buffered records are written and synced at this size, which bounds the memory of a batch. */
   private static final int FLUSH_THRESHOLD_BYTES = 1024 * 1024;
 
   private final Disk disk;
@@ -44,7 +44,7 @@
   private final GroupId group;
   private final TreeMap<Long, Path> segments = new TreeMap<>();
 
-  /** The entry that each segment follows, by the segment's number. */
+  /** Index of the entry that precedes each segment, by segment number. */
   private final Map<Long, Long> segmentBaseIndexes = new HashMap<>();
 
   private final LogTermIndex termIndex = new LogTermIndex();
@@ -57,9 +57,9 @@
   private boolean failed;
 
   /**
-   * Opens the files of a group and reads them.
+   * Opens the folder of a group, recovers its log and starts a new segment.
    *
-   * @throws StorageException if they are corrupt or can't be read
+   * @throws StorageException if the files are corrupt or can't be read or written
    */
   public LogStore(Path folder, GroupId group) throws StorageException {
     this(FileDisk.INSTANCE, folder, group);
@@ -72,7 +72,7 @@
     try {
       disk.createFolders(folder);
       findSegments();
-      // What an earlier process created or renamed may be unsynced, the folder itself included.
+      // Files created or renamed by an earlier process, and the folder itself, may be unsynced.
       disk.syncFolder(segments.isEmpty() ? folder.toAbsolutePath().getParent() : folder);
       SegmentReader reader = readSegments();
       this.recoveredLog = recover(reader);
@@ -83,24 +83,25 @@
     }
   }
 
-  /** Returns what the files held when they were opened. */
+  /** Returns the state recovered from the files when the store was opened. */
   public RecoveredLog recoveredLog() {
     return recoveredLog;
   }
 
-  /** Returns what was found in the files when they were opened. */
+  /** Returns the findings about the files from when the store was opened. */
   public RecoveryReport recoveryReport() {
     return recoveryReport;
   }
 
   /**
-   * Writes what the effects carry, in their order, and syncs once.
+   * Writes the changes of a batch in order; they are durable when this method returns.
    *
-   * @throws StorageException if anything fails; the store takes nothing more then
+   * @throws StorageException if a write or sync fails; later writes are refused
    */
   public void write(List<RaftEffect.Persist> batch) throws StorageException {
     if (failed) {
-      throw new StorageException(Fault.FAILED, folder + " failed before");
+      throw new StorageException(
+          Fault.FAILED, folder + " accepts no writes after an earlier failure");
     }
     try {
       for (RaftEffect.Persist persist : batch) {
@@ -147,12 +148,12 @@
     if (termIndex.containsEntry(snapshot.index(), snapshot.term())) {
       termIndex.discardBefore(snapshot.index());
     } else {
-      // The entries are of a branch that the snapshot replaces.
+      // The entries conflict with the snapshot, which replaces the whole log.
       termIndex.reset(snapshot.index(), snapshot.term());
     }
     currentSegment.close();
     startSegment();
-    // A segment whose successor begins at or before the snapshot holds nothing that is needed.
+    // A segment is obsolete if its successor starts at or before the last entry of the snapshot.
     while (segments.size() > 1) {
       long next = segments.higherKey(segments.firstKey());
       if (segmentBaseIndexes.get(next) > snapshot.index()) {
@@ -205,8 +206,8 @@
       segmentBaseIndexes.put(next.getKey(), reader.segmentBaseIndex());
     }
     if (!segments.isEmpty()) {
-      // A process that was killed may have left writes without their sync, and the entries read
-      // here count as synced from now on. Older segments were synced before their successor.
+      // A killed process may have left unsynced writes in the newest segment, and entries returned
+      // by recovery must be durable. Older segments were synced before their successor was created.
       disk.sync(segments.lastEntry().getValue());
     }
     return reader;
@@ -224,14 +225,14 @@
     if (reader.baseIndex() > covered) {
       throw new StorageException(
           Fault.CORRUPT,
-          folder + " lacks the entries from " + (covered + 1) + " to " + reader.baseIndex());
+          folder + " is missing the entries from " + (covered + 1) + " to " + reader.baseIndex());
     }
     List<LogEntry> entries = new ArrayList<>();
     if (snapshot.isEmpty()) {
       entries.addAll(reader.entries());
     } else if (reader.containsEntry(snapshot.get().index(), snapshot.get().term())) {
-      // Entries after the snapshot count only if the log held the snapshot's last entry itself;
-      // otherwise they stem from a branch that the snapshot replaced.
+      // Entries after the snapshot are valid only if the log contains the snapshot's last entry;
+      // otherwise they belong to a conflicting log that the snapshot replaced.
       reader.entries().stream().filter(entry -> entry.index() > covered).forEach(entries::add);
     }
     hardState = reader.lastHardState();
@@ -267,7 +268,7 @@
     }
     RecordFile.Content content = RecordFile.read(disk, file);
     if (content.isTorn() || content.records().size() != 1) {
-      throw new StorageException(Fault.CORRUPT, file + " is not whole");
+      throw new StorageException(Fault.CORRUPT, file + " is not a single complete record");
     }
     try {
       return Optional.of(LogRecordCodec.snapshot(content.records().getFirst()));
--- a/burdockbay-server/src/main/java/org/burdockbay/server/storage/LogTermIndex.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/storage/LogTermIndex.java
@@ -2,10 +2,10 @@
 
 import java.util.TreeMap;
 
-/** The terms of the entries that a log holds, without their content. */
+/** Tracks the terms of the entries in a log, without their content. */
 final class LogTermIndex {
 
-  /** Term by the first entry that has it, beginning with the entry that the log follows. */
+  /** Term by the index of its first entry, starting with the entry that precedes the log. */
   private final TreeMap<Long, Long> termsByFirstIndex = new TreeMap<>();
 
   private long lastIndex;
@@ -14,7 +14,7 @@
     reset(0, 0);
   }
 
-  /** Forgets all entries; the log then follows the given one. */
+  /** Removes all entries; the log continues after the given entry. */
   void reset(long index, long term) {
     termsByFirstIndex.clear();
     termsByFirstIndex.put(index, term);
@@ -34,7 +34,7 @@
     lastIndex = index - 1;
   }
 
-  /** Forgets the entries before one that is held. */
+  /** Removes the entries before the given one, which must be in the log. */
   void discardBefore(long index) {
     termsByFirstIndex.headMap(termsByFirstIndex.floorKey(index), false).clear();
   }
--- a/burdockbay-server/src/main/java/org/burdockbay/server/storage/LogWriter.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/storage/LogWriter.java
@@ -10,8 +10,9 @@
 import org.burdockbay.server.storage.StorageException.Fault;
 
 /**
- * Writes on a thread of its own, so that a slow sync delays no heartbeat; what has queued up during
- * one sync shares the next (group commit).
+ * Writes to a {@link LogStore} on a separate thread, so that a slow sync delays no heartbeat.
+ *
+ * <p>Writes that are queued during one sync share the next one (group commit).
  */
 public final class LogWriter implements AutoCloseable {
 
@@ -22,19 +23,19 @@
   private final Thread thread;
 
   /**
-   * Creates a writer; {@link #start} runs it.
+   * Creates a writer; {@link #start} starts its thread.
    *
-   * @param synced told of the last ticket of each synced batch
-   * @param failed told once if writing fails; nothing is written after that
+   * @param onSynced receives the last ticket of each synced batch, on the writer's thread
+   * @param onFailure called once if writing fails, on the writer's thread; the writer then stops
    */
-  public LogWriter(LogStore store, LongConsumer synced, Consumer<StorageException> failed) {
+  public LogWriter(LogStore store, LongConsumer onSynced, Consumer<StorageException> onFailure) {
     this.store = store;
-    this.onSynced = synced;
-    this.onFailure = failed;
+    this.onSynced = onSynced;
+    this.onFailure = onFailure;
     this.thread = Thread.ofPlatform().name("log-writer").daemon().unstarted(this::run);
   }
 
-  /** Starts to write what is queued. */
+  /** Starts the thread that processes queued writes. */
   public void start() {
     thread.start();
   }
@@ -70,8 +71,8 @@
     } catch (StorageException e) {
       onFailure.accept(e);
     } catch (RuntimeException e) {
-      // Without this thread nothing is synced, while the host would go on as a voter.
-      onFailure.accept(new StorageException(Fault.FAILED, "the log writer failed: " + e, e));
+      // Without this thread nothing is synced, yet the host would continue as a voter.
+      onFailure.accept(new StorageException(Fault.FAILED, "log writer failed: " + e, e));
     }
   }
 }
--- a/burdockbay-server/src/main/java/org/burdockbay/server/storage/RecordFile.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/storage/RecordFile.java
@@ -8,24 +8,24 @@
 import java.util.zip.CRC32C;
 
 /**
- * The framing of records in a file: length, CRC-32C of the payload, payload.
+ * Reads and writes files of framed records: length, CRC-32C of the payload, payload.
  *
- * <p>Reading tells a torn tail from corruption. A write that a power loss cut short leaves a record
- * that runs past the end of the file, or zeros up to the end; it was never synced, so it is cut
- * off. A whole record with a wrong checksum was changed after it was written.
+ * <p>Reading distinguishes a torn tail from corruption. A write interrupted by a power loss leaves
+ * a record that extends past the end of the file, or zeros up to the end. It was never synced, so
+ * it may be truncated. A complete record with a wrong checksum was changed after it was written.
  */
 final class RecordFile {
 
   static final int HEADER_BYTES = 8;
 
-  /** Ending of the file that {@link #replaceAtomically} writes first. */
+  /** Suffix of the temporary file that {@link #replaceAtomically} writes and renames. */
   static final String TEMP_FILE_SUFFIX = ".new";
 
   private static final int MAX_RECORD_BYTES = 64 * 1024 * 1024;
 
   private RecordFile() {}
 
-  /** Returns the bytes of a record as they stand in the file. */
+  /** Returns a record with its header, as written to the file. */
   static ByteBuffer frame(byte[] payload) {
     ByteBuffer buffer = ByteBuffer.allocate(HEADER_BYTES + payload.length);
     buffer.putInt(payload.length).putInt(checksum(payload)).put(payload).flip();
@@ -33,9 +33,9 @@
   }
 
   /**
-   * Reads all records.
+   * Reads all complete records.
    *
-   * @throws StorageException if a record is corrupt
+   * @throws StorageException if a record is corrupt or the file can't be read
    */
   static Content read(Disk disk, Path file) throws StorageException {
     byte[] bytes;
@@ -63,7 +63,7 @@
     return new Content(records, position, bytes.length);
   }
 
-  /** Writes one record to a new file and syncs it. */
+  /** Creates a file with one record and syncs its content, but not its directory entry. */
   static void writeSingleRecord(Disk disk, Path file, byte[] payload) throws IOException {
     try (Disk.Writer writer = disk.create(file)) {
       writer.write(frame(payload));
@@ -71,15 +71,15 @@
     }
   }
 
-  /** Replaces a file by one record; the name is durable when this returns. */
+  /** Replaces a file by one with a single record; durable when this method returns. */
   static void replaceAtomically(Disk disk, Path file, byte[] payload) throws IOException {
-    Path draft = file.resolveSibling(file.getFileName() + TEMP_FILE_SUFFIX);
-    writeSingleRecord(disk, draft, payload);
-    disk.move(draft, file);
+    Path temporary = file.resolveSibling(file.getFileName() + TEMP_FILE_SUFFIX);
+    writeSingleRecord(disk, temporary, payload);
+    disk.move(temporary, file);
     disk.syncFolder(file.getParent());
   }
 
-  /** Returns the end of the record at a position, or -1 if no whole, correct record is there. */
+  /** Returns the end of the record at a position, or -1 if there is no complete, valid one. */
   private static int findRecordEnd(byte[] bytes, int position) {
     if (bytes.length - position < HEADER_BYTES) {
       return -1;
@@ -110,7 +110,7 @@
     return end == bytes.length && bytes[bytes.length - 1] == 0;
   }
 
-  /** Returns whether a correct record follows, so that the damage can't be the tail's. */
+  /** Returns whether a valid record follows, which rules out a torn tail. */
   private static boolean hasRecordAfter(byte[] bytes, int from) {
     for (int position = from; position < bytes.length - HEADER_BYTES; position++) {
       int end = findRecordEnd(bytes, position);
@@ -137,10 +137,10 @@
   }
 
   /**
-   * What a file holds.
+   * The content of a file.
    *
-   * @param records the payloads
-   * @param validBytes where the last whole record ends
+   * @param records payloads of the complete records
+   * @param validBytes end offset of the last complete record
    * @param fileBytes size of the file
    */
   record Content(List<byte[]> records, int validBytes, int fileBytes) {
--- a/burdockbay-server/src/main/java/org/burdockbay/server/storage/SegmentReader.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/storage/SegmentReader.java
@@ -8,7 +8,7 @@
 import org.burdockbay.wire.LogRecordCodec;
 import org.burdockbay.wire.WireException;
 
-/** Replays the records of the segments, oldest first. */
+/** Rebuilds a log from the records of its segments, oldest first. */
 final class SegmentReader implements LogRecordCodec.Visitor {
 
   private static final long UNKNOWN_TERM = -1;
@@ -25,7 +25,12 @@
     this.group = group;
   }
 
-  /** A segment that lost its content in a power loss follows the last entry read before it. */
+  /**
+   * Begins the next segment.
+   *
+   * <p>Until its base record is read, the segment is assumed to follow the last entry, as for one
+   * whose content was lost in a power loss.
+   */
   void beginSegment() {
     segmentBaseIndex = lastIndex();
   }
@@ -33,11 +38,11 @@
   @Override
   public void visitBase(int number, long index, long term) throws WireException {
     if (number != group.number()) {
-      throw new WireException("a segment of group " + number + ", not of " + group.number());
+      throw new WireException("segment of group " + number + "; expected group " + group.number());
     }
     segmentBaseIndex = index;
     if (index != lastIndex() || term != lastTerm()) {
-      // The log was replaced by a snapshot here, or the segments before were deleted.
+      // A snapshot replaced the log here, or earlier segments were deleted.
       gaps.add(new LogGap(lastIndex(), lastTerm(), index, term));
       entries.clear();
       baseIndex = index;
@@ -54,7 +59,7 @@
   public void visitTruncation(long index) {
     removeFrom(index);
     if (index <= baseIndex) {
-      // The entries before were in older segments, which a snapshot has covered since.
+      // The preceding entries were in older segments, since covered by a snapshot and deleted.
       baseIndex = index - 1;
       baseTerm = UNKNOWN_TERM;
     }
@@ -64,7 +69,8 @@
   public void visitEntry(LogEntry entry) throws WireException {
     removeFrom(entry.index());
     if (entry.index() != lastIndex() + 1) {
-      throw new WireException("entry " + entry.index() + " follows " + lastIndex());
+      throw new WireException(
+          "entry " + entry.index() + " is not the successor of entry " + lastIndex());
     }
     entries.add(entry);
   }
@@ -81,7 +87,7 @@
     return hardState;
   }
 
-  /** Returns the entry that the segment read last follows. */
+  /** Returns the index of the entry that precedes the latest segment. */
   long segmentBaseIndex() {
     return segmentBaseIndex;
   }
--- a/burdockbay-server/src/main/java/org/burdockbay/server/storage/StorageException.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/storage/StorageException.java
@@ -3,16 +3,19 @@
 import org.burdockbay.server.ServerException;
 import org.jspecify.annotations.Nullable;
 
-/** Thrown when the data folder can't be used; the message names the file. */
+/** Thrown when a data folder can't be used; the message names the file or folder. */
 public class StorageException extends ServerException {
 
   private static final long serialVersionUID = 1L;
 
-  /** What is wrong with the folder. */
+  /** The kind of failure. */
   public enum Fault {
-    /** It belongs to another host or cluster, or another process uses it. */
+    /**
+     * The folder belongs to another host or cluster, has another format, is no new folder where a
+     * new one is needed, or is in use by another process.
+     */
     FOREIGN,
-    /** A record that was synced can't be read. */
+    /** A synced record is missing, damaged or undecodable. */
     CORRUPT,
     /** Reading, writing or syncing failed. */
     FAILED
@@ -20,18 +23,18 @@
 
   private final Fault fault;
 
-  /** Creates an exception whose message names the file. */
+  /** Creates an exception whose message names the file or folder. */
   public StorageException(Fault fault, String message) {
     this(fault, message, null);
   }
 
-  /** Creates an exception with the failure that caused it. */
+  /** Creates an exception with a cause. */
   public StorageException(Fault fault, String message, @Nullable Throwable cause) {
     super(message, cause);
     this.fault = fault;
   }
 
-  /** Returns what is wrong. */
+  /** Returns the kind of failure. */
   public Fault fault() {
     return fault;
   }
--- a/burdockbay-server/src/main/java/org/burdockbay/server/storage/package-info.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/storage/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The data folder of a host with a disk: its identity, the segments of the agreement log, and
- * snapshots.
+ * Durable storage in the data folder of a host: its identity, the highest epoch, and the Raft log
+ * with its snapshots.
  */
 package org.burdockbay.server.storage;
--- a/burdockbay-wire/src/main/java/org/burdockbay/wire/ControlCodec.java
+++ b/burdockbay-wire/src/main/java/org/burdockbay/wire/ControlCodec.java
@@ -17,16 +17,16 @@
 import org.burdockbay.core.submission.JobOutcome;
 import org.burdockbay.wire.proto.Wire;
 
-/** Encodes commands to the agreed state, its replies and its snapshots. */
+/** Encodes and decodes commands, replies and snapshots of the replicated control state. */
 public final class ControlCodec {
   private ControlCodec() {}
 
-  /** Encodes a command for the agreement log. */
+  /** Encodes a command for the Raft log. */
   public static Bytes toBytes(ControlCommand command) {
     return Bytes.copyOf(encode(command).toByteArray());
   }
 
-  /** Encodes the agreed state for a snapshot. */
+  /** Encodes the control state for a snapshot. */
   public static Bytes toBytes(ControlImage image) {
     Wire.ControlImage.Builder builder = Wire.ControlImage.newBuilder();
     for (ControlImage.ConfigurationVersion version : image.configuration()) {
@@ -59,35 +59,35 @@
   }
 
   /**
-   * Decodes a command of the agreement log.
+   * Decodes a command of the Raft log.
    *
-   * @throws WireException if it isn't one
+   * @throws WireException if the bytes aren't a known command
    */
   public static ControlCommand decodeCommand(Bytes bytes) throws WireException {
     try {
       return decode(Wire.ControlCommand.parseFrom(bytes.toArray()));
     } catch (InvalidProtocolBufferException e) {
-      throw new WireException("not a control command", e);
+      throw new WireException("malformed control command", e);
     }
   }
 
   /**
-   * Decodes the agreed state of a snapshot.
+   * Decodes the control state of a snapshot.
    *
-   * @throws WireException if it isn't one
+   * @throws WireException if the bytes aren't a control state
    */
   public static ControlImage decodeImage(Bytes bytes) throws WireException {
     try {
       return decode(Wire.ControlImage.parseFrom(bytes.toArray()));
     } catch (InvalidProtocolBufferException e) {
-      throw new WireException("not a snapshot of the agreed state", e);
+      throw new WireException("malformed snapshot of the control state", e);
     }
   }
 
   static Wire.ControlCommand encode(ControlCommand command) {
     return switch (command) {
-      case ControlCommand.LedgerOperation toLedger ->
-          Wire.ControlCommand.newBuilder().setLedger(encode(toLedger.command())).build();
+      case ControlCommand.LedgerOperation operation ->
+          Wire.ControlCommand.newBuilder().setLedger(encode(operation.command())).build();
       case ControlCommand.ApplyConfiguration apply ->
           Wire.ControlCommand.newBuilder()
               .setApply(
@@ -107,7 +107,7 @@
   static Wire.ControlReply encode(ControlReply reply) {
     Wire.ControlReply.Builder builder = Wire.ControlReply.newBuilder();
     switch (reply) {
-      case ControlReply.LedgerResult fromLedger -> builder.setLedger(encode(fromLedger.reply()));
+      case ControlReply.LedgerResult result -> builder.setLedger(encode(result.reply()));
       case ControlReply.Accepted accepted -> builder.setAccepted(accepted.version());
       case ControlReply.VersionConflict conflict ->
           builder.setVersionConflict(conflict.currentVersion());
--- a/burdockbay-wire/src/main/java/org/burdockbay/wire/FleetCodec.java
+++ b/burdockbay-wire/src/main/java/org/burdockbay/wire/FleetCodec.java
@@ -6,42 +6,44 @@
 import org.burdockbay.core.message.PeerMessage;
 import org.burdockbay.wire.proto.Wire;
 
-/** Encodes what hosts tell each other of upstreams and of other hosts. */
+/** Encodes and decodes announcements of upstreams and descriptors of hosts. */
 final class FleetCodec {
 
   private FleetCodec() {}
 
   static Wire.UpstreamNews encode(PeerMessage.UpstreamNews news) {
     Wire.UpstreamNews.Builder builder = Wire.UpstreamNews.newBuilder();
-    news.announced().forEach(each -> builder.addAnnounced(encode(each.notice(), each.ageMillis())));
-    news.departed().forEach(notice -> builder.addDeparted(encode(notice, 0)));
+    news.announced()
+        .forEach(
+            announced -> builder.addAnnounced(encode(announced.notice(), announced.ageMillis())));
+    news.departed().forEach(announcement -> builder.addDeparted(encode(announcement, 0)));
     return builder.build();
   }
 
   static Wire.HostCards encode(PeerMessage.KnownHosts known) {
     Wire.HostCards.Builder builder = Wire.HostCards.newBuilder();
-    for (HostDescriptor card : known.hosts()) {
+    for (HostDescriptor descriptor : known.hosts()) {
       builder.addHosts(
           Wire.HostCard.newBuilder()
-              .setId(card.id())
-              .setGroup(card.group())
-              .setDomain(card.domain())
-              .setAddress(card.address()));
+              .setId(descriptor.id())
+              .setGroup(descriptor.group())
+              .setDomain(descriptor.domain())
+              .setAddress(descriptor.address()));
     }
     return builder.build();
   }
 
-  private static Wire.UpstreamNotice encode(UpstreamAnnouncement notice, long ageMillis) {
+  private static Wire.UpstreamNotice encode(UpstreamAnnouncement announcement, long ageMillis) {
     return Wire.UpstreamNotice.newBuilder()
-        .setId(notice.id())
-        .setBornMs(notice.startedAt())
-        .setSequence(notice.sequence())
-        .setService(notice.service())
-        .setAddress(notice.address())
-        .setDomain(notice.domain())
-        .setLeaving(notice.leaving())
-        .setCapacity(WorkCodec.encode(notice.capacity()))
-        .addAllLabels(notice.labels())
+        .setId(announcement.id())
+        .setBornMs(announcement.startedAt())
+        .setSequence(announcement.sequence())
+        .setService(announcement.service())
+        .setAddress(announcement.address())
+        .setDomain(announcement.domain())
+        .setLeaving(announcement.leaving())
+        .setCapacity(WorkCodec.encode(announcement.capacity()))
+        .addAllLabels(announcement.labels())
         .setAgeMs(ageMillis)
         .build();
   }
@@ -49,31 +51,36 @@
   static PeerMessage.UpstreamNews decode(Wire.UpstreamNews news) {
     return new PeerMessage.UpstreamNews(
         news.getAnnouncedList().stream()
-            .map(each -> new PeerMessage.UpstreamNews.Announced(decode(each), each.getAgeMs()))
+            .map(
+                announced ->
+                    new PeerMessage.UpstreamNews.Announced(decode(announced), announced.getAgeMs()))
             .toList(),
         news.getDepartedList().stream().map(FleetCodec::decode).toList());
   }
 
-  static PeerMessage.KnownHosts decode(Wire.HostCards cards) {
+  static PeerMessage.KnownHosts decode(Wire.HostCards hosts) {
     return new PeerMessage.KnownHosts(
-        cards.getHostsList().stream()
+        hosts.getHostsList().stream()
             .map(
-                card ->
+                descriptor ->
                     new HostDescriptor(
-                        card.getId(), card.getGroup(), card.getDomain(), card.getAddress()))
+                        descriptor.getId(),
+                        descriptor.getGroup(),
+                        descriptor.getDomain(),
+                        descriptor.getAddress()))
             .toList());
   }
 
-  private static UpstreamAnnouncement decode(Wire.UpstreamNotice notice) {
+  private static UpstreamAnnouncement decode(Wire.UpstreamNotice announcement) {
     return new UpstreamAnnouncement(
-        notice.getId(),
-        notice.getBornMs(),
-        notice.getSequence(),
-        notice.getService(),
-        notice.getAddress(),
-        notice.getDomain(),
-        notice.getLeaving(),
-        WorkCodec.decode(notice.getCapacity()),
-        Set.copyOf(notice.getLabelsList()));
+        announcement.getId(),
+        announcement.getBornMs(),
+        announcement.getSequence(),
+        announcement.getService(),
+        announcement.getAddress(),
+        announcement.getDomain(),
+        announcement.getLeaving(),
+        WorkCodec.decode(announcement.getCapacity()),
+        Set.copyOf(announcement.getLabelsList()));
   }
 }
--- a/burdockbay-wire/src/main/java/org/burdockbay/wire/LogRecordCodec.java
+++ b/burdockbay-wire/src/main/java/org/burdockbay/wire/LogRecordCodec.java
@@ -8,19 +8,19 @@
 import org.burdockbay.core.agreement.VoterId;
 import org.burdockbay.wire.proto.Wire;
 
-/** Encodes the records of segment and snapshot files. */
+/** Encodes and decodes the records of segment and snapshot files. */
 public final class LogRecordCodec {
 
   private LogRecordCodec() {}
 
-  /** Encodes the point at which a segment begins. */
+  /** Encodes the group of a segment and the index and term of the entry before it. */
   public static byte[] base(int group, long index, long term) {
     Wire.LogRecord.Base base =
         Wire.LogRecord.Base.newBuilder().setGroup(group).setIndex(index).setTerm(term).build();
     return Wire.LogRecord.newBuilder().setBase(base).build().toByteArray();
   }
 
-  /** Encodes term and vote. */
+  /** Encodes the current term and vote. */
   public static byte[] hardState(HardState state) {
     Wire.LogRecord.HardState.Builder builder =
         Wire.LogRecord.HardState.newBuilder().setTerm(state.term());
@@ -28,7 +28,7 @@
     return Wire.LogRecord.newBuilder().setHardState(builder).build().toByteArray();
   }
 
-  /** Encodes the removal of entries. */
+  /** Encodes the removal of all entries from an index on. */
   public static byte[] truncateFrom(long index) {
     return Wire.LogRecord.newBuilder().setTruncateFrom(index).build().toByteArray();
   }
@@ -46,27 +46,27 @@
   /**
    * Decodes a snapshot.
    *
-   * @throws WireException if it isn't one
+   * @throws WireException if the bytes aren't a snapshot
    */
   public static Snapshot snapshot(byte[] bytes) throws WireException {
     try {
       return RaftCodec.decode(Wire.Snapshot.parseFrom(bytes));
     } catch (InvalidProtocolBufferException e) {
-      throw new WireException("not a snapshot", e);
+      throw new WireException("malformed snapshot", e);
     }
   }
 
   /**
-   * Decodes a record of a segment and gives it to the visitor.
+   * Decodes a record of a segment and passes it to the visitor.
    *
-   * @throws WireException if it isn't a record that this version knows
+   * @throws WireException if the record is malformed, of an unknown kind or refused by the visitor
    */
   public static void decode(byte[] bytes, Visitor visitor) throws WireException {
     Wire.LogRecord record;
     try {
       record = Wire.LogRecord.parseFrom(bytes);
     } catch (InvalidProtocolBufferException e) {
-      throw new WireException("not a log record", e);
+      throw new WireException("malformed log record", e);
     }
     switch (record.getRecordCase()) {
       case BASE -> {
@@ -87,19 +87,19 @@
     }
   }
 
-  /** Told of the records of a segment in their order. */
+  /** Receives the records of segments in order. */
   public interface Visitor {
 
-    /** The segment begins after the given entry. */
+    /** Receives the start of a segment, which follows the given entry. */
     void visitBase(int group, long index, long term) throws WireException;
 
-    /** Term and vote from here on. */
+    /** Receives a new term and vote. */
     void visitHardState(HardState state);
 
-    /** Entries from the index on are removed. */
+    /** Receives the removal of all entries from the given index on. */
     void visitTruncation(long index);
 
-    /** An entry follows. */
+    /** Receives the next entry. */
     void visitEntry(LogEntry entry) throws WireException;
   }
 }
--- a/burdockbay-wire/src/main/java/org/burdockbay/wire/PeerCodec.java
+++ b/burdockbay-wire/src/main/java/org/burdockbay/wire/PeerCodec.java
@@ -12,7 +12,7 @@
 import org.burdockbay.core.shard.ShardLayout;
 import org.burdockbay.wire.proto.Wire;
 
-/** Encodes messages between hosts. */
+/** Encodes and decodes messages between hosts. */
 public final class PeerCodec {
   private PeerCodec() {}
 
@@ -99,7 +99,7 @@
   /**
    * Decodes a message.
    *
-   * @throws WireException if the envelope holds none that this version knows
+   * @throws WireException if the message is invalid or of a kind unknown to this version
    */
   public static PeerMessage decode(Wire.Envelope envelope) throws WireException {
     return switch (envelope.getBodyCase()) {
@@ -149,7 +149,7 @@
       case UPSTREAM_NEWS -> FleetCodec.decode(envelope.getUpstreamNews());
       case HOST_CARDS -> FleetCodec.decode(envelope.getHostCards());
       case HELLO, PROOF, PING, PONG, BODY_NOT_SET ->
-          throw new WireException("no message of a known kind: " + envelope.getBodyCase());
+          throw new WireException("peer message of an unknown kind: " + envelope.getBodyCase());
     };
   }
 
@@ -188,8 +188,11 @@
   }
 
   private static PeerMessage.Heartbeat decodeHeartbeat(Wire.HostStatus status) {
-    long heardAgo = status.getHeardAgoMsPlusOne();
+    long contactAgeMillisPlusOne = status.getHeardAgoMsPlusOne();
     return new PeerMessage.Heartbeat(
-        decode(status), heardAgo == 0 ? OptionalLong.empty() : OptionalLong.of(heardAgo - 1));
+        decode(status),
+        contactAgeMillisPlusOne == 0
+            ? OptionalLong.empty()
+            : OptionalLong.of(contactAgeMillisPlusOne - 1));
   }
 }
--- a/burdockbay-wire/src/main/java/org/burdockbay/wire/RaftCodec.java
+++ b/burdockbay-wire/src/main/java/org/burdockbay/wire/RaftCodec.java
@@ -13,7 +13,7 @@
 import org.burdockbay.core.agreement.VoterSet;
 import org.burdockbay.wire.proto.Wire;
 
-/** Encodes messages and records of the agreement. */
+/** Encodes and decodes Raft messages, log entries and snapshots. */
 final class RaftCodec {
   private RaftCodec() {}
 
@@ -151,7 +151,7 @@
               raft.getSnapshotReply().getSnapshotIndex(),
               raft.getSnapshotReply().getNextOffset());
       case TIMEOUT_NOW -> new RaftMessage.TimeoutNow(from, to, term);
-      case BODY_NOT_SET -> throw new WireException("agreement message without a known body");
+      case BODY_NOT_SET -> throw new WireException("Raft message of an unknown kind");
     };
   }
 
@@ -166,7 +166,8 @@
           case COMMAND -> new EntryContent.Command(decode(entry.getCommand()));
           case MEMBERS -> new EntryContent.Members(decode(entry.getMembers()));
           case CONTENT_NOT_SET ->
-              throw new WireException("entry " + entry.getIndex() + " without known content");
+              throw new WireException(
+                  "entry " + entry.getIndex() + " has content of an unknown kind");
         };
     return new LogEntry(entry.getIndex(), entry.getTerm(), entry.getTimeMs(), content);
   }
--- a/burdockbay-wire/src/main/java/org/burdockbay/wire/SubmissionCodec.java
+++ b/burdockbay-wire/src/main/java/org/burdockbay/wire/SubmissionCodec.java
@@ -8,7 +8,7 @@
 import org.burdockbay.core.submission.SubmissionKey;
 import org.burdockbay.wire.proto.Wire;
 
-/** Encodes submissions, jobs and their outcomes. */
+/** Encodes and decodes submissions, jobs and their outcomes. */
 final class SubmissionCodec {
   private SubmissionCodec() {}
 
--- a/burdockbay-wire/src/main/java/org/burdockbay/wire/WorkCodec.java
+++ b/burdockbay-wire/src/main/java/org/burdockbay/wire/WorkCodec.java
@@ -10,7 +10,7 @@
 import org.burdockbay.core.work.WorkStep;
 import org.burdockbay.wire.proto.Wire;
 
-/** Encodes work and its outcomes. */
+/** Encodes and decodes work and its outcomes. */
 final class WorkCodec {
 
   private WorkCodec() {}
@@ -120,7 +120,7 @@
 
   private static WorkStep decode(Wire.WorkStep step) throws WireException {
     if (step.getTasks() < 1) {
-      throw new WireException("a step without tasks");
+      throw new WireException("work step without tasks");
     }
     return new WorkStep(
         step.getTasks(),
--- a/burdockbay-wire/src/main/java/org/burdockbay/wire/package-info.java
+++ b/burdockbay-wire/src/main/java/org/burdockbay/wire/package-info.java
@@ -1,7 +1,7 @@
 /**
- * The protobuf encoding of what travels between hosts and of what their data folders hold.
+ * Protobuf encoding of messages between hosts and of records in data folders.
  *
- * <p>A message that can't be decoded is refused with a {@link org.burdockbay.wire.WireException}
- * that names it; nothing is guessed.
+ * <p>Decoding is strict: a malformed or unknown message is refused with a {@link
+ * org.burdockbay.wire.WireException} and never decoded in part.
  */
 package org.burdockbay.wire;
