--- a/burdockbay-server/src/test/java/org/burdockbay/server/settings/HostSettingsTest.java
+++ b/burdockbay-server/src/test/java/org/burdockbay/server/settings/HostSettingsTest.java
@@ -8,7 +8,7 @@
 import org.burdockbay.core.configuration.ConfigurationException;
 import org.testng.annotations.Test;
 
-/** Validation of a host's settings. */
+/** Tests the parsing and validation of {@link HostSettings}. */
 public class HostSettingsTest {
 
   private static final String VALID =
@@ -29,7 +29,7 @@
       voter = true
       """;
 
-  /** Valid settings give the voters and domains of all hosts. */
+  /** Voters and domains include this host as well as its peers. */
   @Test
   public void readsHostAndPeers() throws ConfigurationException {
     HostSettings settings = HostSettings.parse("a.ini", VALID);
@@ -37,7 +37,7 @@
     assertEquals(settings.domainByHost().get("b"), "south");
   }
 
-  /** An address that two hosts share is named with its line. */
+  /** Two hosts with the same address are reported with the line of the second one. */
   @Test
   public void rejectsDuplicateAddresses() {
     String text = VALID.replace("7003", "7001");
@@ -46,7 +46,7 @@
     assertTrue(e.getMessage().startsWith("a.ini:13: [peer b] address"), e.getMessage());
   }
 
-  /** Missing keys name the section that lacks them. */
+  /** A missing key is reported with its section. */
   @Test
   public void reportsMissingKeys() {
     String text = VALID.replace("secret = 0123456789abcdef\n", "");
--- a/burdockbay-server/src/test/java/org/burdockbay/server/storage/EpochFileTest.java
+++ b/burdockbay-server/src/test/java/org/burdockbay/server/storage/EpochFileTest.java
@@ -12,32 +12,32 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** What an {@link EpochFile} keeps. */
+/** Tests reading and writing of {@link EpochFile}. */
 public class EpochFileTest {
 
   private Path folder;
 
-  /** Makes a folder. */
+  /** Creates an empty folder for each test. */
   @BeforeMethod
   public void createFolder() throws IOException {
     folder = Files.createTempDirectory("epoch");
   }
 
-  /** Removes it. */
+  /** Deletes the folder. */
   @AfterMethod
   public void removeFolder() throws IOException {
     Files.deleteIfExists(folder.resolve("epoch"));
     Files.delete(folder);
   }
 
-  /** A host that never saw an epoch knows none. */
+  /** A missing file must read as epoch 0 and not as an error. */
   @Test
   public void returnsNoEpochWithoutFile() throws StorageException {
     assertEquals(new EpochFile(folder).read(), EpochFile.Content.NONE);
     assertEquals(EpochFile.Content.NONE.epoch(), 0);
   }
 
-  /** The process is killed and starts again: it knows what it has saved last. */
+  /** A restarted process must read the content that was written last. */
   @Test
   public void keepsTheLastEpochAcrossRestarts() throws StorageException {
     EpochFile.Content last = new EpochFile.Content(1L << 52, new ShardLayout(4));
@@ -46,7 +46,7 @@
     assertEquals(new EpochFile(folder).read(), last);
   }
 
-  /** A file that an earlier version has left is read after an upgrade. */
+  /** After an upgrade, a file of an earlier version without a layout must stay readable. */
   @Test
   public void readsEpochsSavedWithoutLayout() throws IOException, StorageException {
     byte[] epoch = ByteBuffer.allocate(Long.BYTES).putLong(1L << 52).array();
@@ -55,7 +55,7 @@
         new EpochFile(folder).read(), new EpochFile.Content(1L << 52, ShardLayout.UNDIVIDED));
   }
 
-  /** A torn or foreign file is told apart from none. */
+  /** An unreadable file must not be treated as a missing one. */
   @Test
   public void rejectsUnreadableContent() throws IOException {
     Files.writeString(folder.resolve("epoch"), "not a record");
--- a/burdockbay-server/src/test/java/org/burdockbay/server/storage/LogRecords.java
+++ b/burdockbay-server/src/test/java/org/burdockbay/server/storage/LogRecords.java
@@ -14,7 +14,7 @@
 import org.burdockbay.core.agreement.VoterId;
 import org.burdockbay.core.agreement.VoterSet;
 
-/** Entries, votes and snapshots that tests of the stores write. */
+/** Creates log entries, votes and snapshots for tests of the storage. */
 final class LogRecords {
 
   static final HardState VOTED = new HardState(3, Optional.of(new VoterId("b", 1)));
--- a/burdockbay-server/src/test/java/org/burdockbay/server/storage/LogStoreFuzzTest.java
+++ b/burdockbay-server/src/test/java/org/burdockbay/server/storage/LogStoreFuzzTest.java
@@ -21,7 +21,11 @@
 import org.burdockbay.core.agreement.VoterSet;
 import org.testng.annotations.Test;
 
-/** Kills and power losses at any operation, compared with a list of the states that may be left. */
+/**
+ * Kills processes and cuts the power at random operations.
+ *
+ * <p>The recovered log must be one of the states that the last write may have left.
+ */
 public class LogStoreFuzzTest {
 
   private static final Path FOLDER = Path.of("/data/group-1");
@@ -29,7 +33,7 @@
   private static final long FIRST_SEED = Long.getLong("fuzz.seed", 1);
   private static final int PROCESS_COUNT = 12;
 
-  /** What was written and synced, or read back, is there after the next start. */
+  /** State that was synced, or recovered by a process, must not be lost on the next start. */
   @Test
   public void keepsStateThatWasSyncedOrReadBack() throws StorageException {
     for (long seed = FIRST_SEED; seed < FIRST_SEED + SEEDS; seed++) {
@@ -37,7 +41,7 @@
     }
   }
 
-  /** Seeds that once failed. */
+  /** Regression test with seeds that failed in the past. */
   @Test
   public void keepsSyncedStateForSeedsThatOnceFailed() throws StorageException {
     for (long seed : new long[] {20261203, 20261207, 20270636}) {
@@ -45,7 +49,7 @@
     }
   }
 
-  /** One disk and the processes that follow each other on it. */
+  /** A simulated disk and a sequence of processes that use it. */
   private static final class Simulation {
 
     private final long seed;
@@ -62,7 +66,7 @@
     }
 
     void run() throws StorageException {
-      for (int life = 0; life < PROCESS_COUNT; life++) {
+      for (int process = 0; process < PROCESS_COUNT; process++) {
         try {
           runProcess();
         } catch (ModelDisk.ProcessKilled e) {
@@ -72,7 +76,7 @@
           case 0 -> disk.losePower();
           case 1 -> disk.losePowerAtRandom();
           default -> {
-            // The process alone was killed.
+            // Only the process was killed; unsynced writes stay visible.
           }
         }
       }
@@ -187,7 +191,7 @@
     }
   }
 
-  /** Returns the state before the batch and after each of its records. */
+  /** Returns the state before the batch and the states after each of its records. */
   private static List<RecoveredLog> statesDuring(
       List<RaftEffect.Persist> batch, RecoveredLog before) {
     List<RecoveredLog> states = new ArrayList<>(List.of(before));
--- a/burdockbay-server/src/test/java/org/burdockbay/server/storage/LogStoreTest.java
+++ b/burdockbay-server/src/test/java/org/burdockbay/server/storage/LogStoreTest.java
@@ -26,18 +26,18 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Damage to the files of a group. */
+/** Tests recovery of {@link LogStore} and {@link DataFolder} from real files. */
 public class LogStoreTest {
 
   private Path folder;
 
-  /** Makes a folder for each test. */
+  /** Creates an empty folder for each test. */
   @BeforeMethod
   public void createFolder() throws IOException {
     folder = Files.createTempDirectory("log-store");
   }
 
-  /** Removes the folder. */
+  /** Deletes the folder with its files. */
   @AfterMethod
   public void removeFolder() throws IOException {
     try (Stream<Path> files = Files.walk(folder)) {
@@ -47,7 +47,7 @@
     }
   }
 
-  /** What was written is there after a restart, after another restart too. */
+  /** Written entries and votes must survive several restarts in a row. */
   @Test
   public void keepsEntriesAndVotesAcrossRestarts() throws StorageException {
     write(persist(VOTED, entries(1, 5)));
@@ -59,8 +59,8 @@
   }
 
   /**
-   * The power fails in the middle of a write, which leaves half a record at the end. It was never
-   * synced, so nobody was promised it; the host must start without it and without an operator.
+   * A power loss during a write leaves an incomplete record at the end. It was never synced and so
+   * never acknowledged; the host must drop it and start without an operator.
    */
   @Test
   public void truncatesTornTails() throws StorageException, IOException {
@@ -72,7 +72,10 @@
     assertEquals(reopen().entries(), entries(1, 4));
   }
 
-  /** Zeros at the end are blocks that the file system had reserved before the power failed. */
+  /**
+   * A power loss may leave zeros at the end, in blocks that the file system had allocated. They
+   * must not be treated as corruption.
+   */
   @Test
   public void truncatesZerosAtTheEnd() throws StorageException, IOException {
     write(persist(VOTED, entries(1, 5)));
@@ -81,8 +84,8 @@
   }
 
   /**
-   * A bit flips in a record that was synced, with good records after it. Cutting the log there
-   * would take back what was acknowledged; the folder must be refused as corrupt.
+   * A bit flips in a synced record that valid records follow. Truncating the log there would lose
+   * acknowledged entries; the folder must be refused as corrupt.
    */
   @Test
   public void rejectsFlippedBitsBeforeValidRecords() throws StorageException, IOException {
@@ -96,7 +99,7 @@
     assertTrue(e.getMessage().contains(segment.toString()), e.getMessage());
   }
 
-  /** Hundreds of changes and snapshots leave few files, and a restart reads only what counts. */
+  /** Segments covered by snapshots must be deleted, or the number of files grows without bound. */
   @Test
   public void deletesSegmentsCoveredBySnapshots() throws StorageException, IOException {
     try (LogStore store = new LogStore(folder, GroupId.CONTROL)) {
@@ -115,8 +118,8 @@
   }
 
   /**
-   * A follower gets a snapshot that replaces a log of another branch. After a crash the old entries
-   * must not come back behind the snapshot, as if they followed it.
+   * A follower installs a snapshot that replaces a conflicting log. After a restart the old entries
+   * must not reappear after the snapshot as if they followed it.
    */
   @Test
   public void discardsEntriesOfReplacedBranches() throws StorageException {
@@ -127,7 +130,7 @@
     assertEquals(recovered.entries(), List.of());
   }
 
-  /** Entries that were removed before a crash stay removed. */
+  /** Truncated entries must not reappear after a restart. */
   @Test
   public void keepsTruncatedEntriesRemoved() throws StorageException {
     write(persist(VOTED, entries(1, 5)));
@@ -139,7 +142,7 @@
     assertEquals(reopen().entries(), expected);
   }
 
-  /** A disk of another host, or a folder that a second process opens, is refused by name. */
+  /** A folder that is in use or belongs to another host must be refused. */
   @Test
   public void rejectsFoldersOfOtherHostsAndFoldersInUse() throws StorageException {
     Path path = folder.resolve("data");
--- a/burdockbay-server/src/test/java/org/burdockbay/server/storage/LogWriterTest.java
+++ b/burdockbay-server/src/test/java/org/burdockbay/server/storage/LogWriterTest.java
@@ -13,10 +13,10 @@
 import org.burdockbay.core.agreement.RaftEffect;
 import org.testng.annotations.Test;
 
-/** What a {@link LogWriter} tells. */
+/** Tests failure reporting of {@link LogWriter}. */
 public class LogWriterTest {
 
-  /** A defect in the writer's thread must not leave a voter whose writes are never synced. */
+  /** If the writer's thread fails, the host must not go on as a voter that syncs nothing. */
   @Test
   public void reportsFailuresOfItsThread() throws Exception {
     ModelDisk disk = new ModelDisk(1);
--- a/burdockbay-server/src/test/java/org/burdockbay/server/storage/ModelDisk.java
+++ b/burdockbay-server/src/test/java/org/burdockbay/server/storage/ModelDisk.java
@@ -17,7 +17,7 @@
 import java.util.function.IntPredicate;
 import org.burdockbay.core.agreement.Bytes;
 
-/** A disk in memory whose process can be killed and whose power can fail at any operation. */
+/** An in-memory disk that simulates process kills, power losses and sync failures. */
 final class ModelDisk implements Disk {
 
   private static final Path ROOT = Path.of("/");
@@ -35,49 +35,49 @@
     durableNames.put(ROOT, names.get(ROOT));
   }
 
-  /** Lets the process end at the operation after the next {@code operations}. */
+  /** Kills the process after the given number of further operations. */
   void killAfter(int operations) {
     operationsLeft = operations;
   }
 
-  /** Lets a new process use the disk. */
+  /** Allows a new process to use the disk. */
   void restart() {
     operationsLeft = Integer.MAX_VALUE;
   }
 
-  /** Lets the next sync of a file fail. */
+  /** Makes the next sync of a file fail. */
   void failNextSync() {
     nextSyncFails = true;
   }
 
-  /** Loses everything that wasn't synced. */
+  /** Loses all unsynced writes and directory entries. */
   void losePower() {
     applyPowerLoss(change -> false);
   }
 
-  /** Loses all unsynced writes, but no name. */
+  /** Loses all unsynced writes, but no directory entries. */
   void losePowerKeepingNames() {
     durableNames = new TreeMap<>(names);
     losePower();
   }
 
-  /** Loses one unsynced write of each file, by its place among these, and keeps the others. */
+  /** Loses one unsynced change of each file and of the directories, by position; keeps others. */
   void losePowerAndOneWrite(int lost) {
     applyPowerLoss(change -> change != lost);
   }
 
-  /** Keeps, loses or tears each unsynced write, and keeps or loses each unsynced name. */
+  /** Keeps, loses or tears each unsynced write; keeps or loses each unsynced directory change. */
   void losePowerAtRandom() {
     applyPowerLoss(change -> random.nextBoolean());
   }
 
-  /** Creates a folder whose name isn't lost. */
+  /** Creates a folder whose directory entry is durable. */
   void createDurableFolder(Path folder) {
     names.put(folder, new Inode());
     durableNames.put(folder, names.get(folder));
   }
 
-  /** Changes bytes of a file, as a defect of the disk does. */
+  /** Overwrites durable bytes of a file, as a failing disk would. */
   void corrupt(Path file, int offset, byte[] bytes) throws IOException {
     Inode inode = inode(file);
     inode.apply(new ContentChange(offset, Bytes.copyOf(bytes)));
@@ -219,7 +219,7 @@
     operationsLeft--;
   }
 
-  /** Ends the process at an operation; what was done before stays visible. */
+  /** Thrown at the operation that kills the process; earlier changes stay visible. */
   static final class ProcessKilled extends RuntimeException {
 
     private static final long serialVersionUID = 1L;
@@ -227,7 +227,7 @@
 
   private record NameChange(Path folder, Consumer<Map<Path, Inode>> effect) {}
 
-  /** An unsynced write, or an unsynced change of the size if there are no bytes. */
+  /** An unsynced write, or an unsynced resize to the offset if there are no bytes. */
   private record ContentChange(int offset, Bytes bytes) {
 
     boolean isResize() {
--- a/burdockbay-server/src/test/java/org/burdockbay/server/storage/PowerLossTest.java
+++ b/burdockbay-server/src/test/java/org/burdockbay/server/storage/PowerLossTest.java
@@ -21,21 +21,24 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** What a data folder holds after kills and power losses. */
+/** Tests the durability of a data folder after process kills and power losses. */
 public class PowerLossTest {
 
   private static final Path FOLDER = Path.of("/data");
 
   private ModelDisk disk;
 
-  /** Makes a disk with an empty folder for each test. */
+  /** Creates a disk with an empty folder for each test. */
   @BeforeMethod
   public void createDisk() {
     disk = new ModelDisk(1);
     disk.createDurableFolder(FOLDER);
   }
 
-  /** A kill between write and sync, a start that reads the write back, and then a power loss. */
+  /**
+   * A process is killed between write and sync, and the next one recovers the entry. A power loss
+   * must not remove that entry again.
+   */
   @Test
   public void keepsEntriesReadBackAfterKill() throws StorageException {
     LogStore killed = open();
@@ -50,7 +53,7 @@
     assertEquals(open().recoveredLog().entries(), entries(1, 7));
   }
 
-  /** An earlier one of several unsynced writes is lost, the later ones are not. */
+  /** A power loss that loses one of several unsynced writes must not look like corruption. */
   @Test
   public void truncatesUnsyncedBatchWithHole() throws StorageException {
     for (int operations = 0; operations < 6; operations++) {
@@ -62,7 +65,7 @@
         try {
           killed.write(List.of(persist(VOTED, entries(6, 9))));
         } catch (ModelDisk.ProcessKilled e) {
-          // The next process goes on with what is left.
+          // The next process continues with the remaining files.
         }
         disk.losePowerAndOneWrite(lost);
         List<LogEntry> found = open().recoveredLog().entries();
@@ -71,7 +74,10 @@
     }
   }
 
-  /** A synced block reads as zeros; the good records after it show that it was synced. */
+  /**
+   * A synced block reads as zeros. Valid records after it show that it is no torn tail, so the log
+   * must be refused.
+   */
   @Test
   public void rejectsHoleInSyncedBatch() throws StorageException, IOException {
     LogStore store = open();
@@ -84,7 +90,7 @@
     assertEquals(e.fault(), StorageException.Fault.CORRUPT);
   }
 
-  /** A segment is missing in the middle of the log. */
+  /** A log without one of its middle segments must be refused. */
   @Test
   public void rejectsLogWithMissingSegment() throws StorageException {
     open().write(List.of(persist(VOTED, entries(1, 5))));
@@ -95,7 +101,7 @@
     assertEquals(e.fault(), StorageException.Fault.CORRUPT);
   }
 
-  /** Entries that follow a snapshot of another branch are kept. */
+  /** Entries appended after a snapshot that replaced a conflicting log must be kept. */
   @Test
   public void keepsEntriesAfterReplacedBranch() throws StorageException {
     LogStore store = open();
@@ -105,7 +111,7 @@
     assertEquals(open().recoveredLog().entries(), entries(6, 7));
   }
 
-  /** A segment that replaced entries of an older one is read without the older one. */
+  /** A segment that truncates entries of an older one must be readable without the older one. */
   @Test
   public void opensSegmentThatTruncatedDeletedSegment() throws StorageException {
     open().write(List.of(persist(VOTED, entries(1, 3))));
@@ -118,7 +124,7 @@
     assertEquals(open().recoveredLog().entries(), entries(7, 7));
   }
 
-  /** A segment whose first write is lost must not stop the store at the next snapshot. */
+  /** After a power loss that emptied a segment, the next snapshot must not fail. */
   @Test
   public void compactsAfterSegmentLostItsContent() throws StorageException {
     open().write(List.of(persist(VOTED, entries(1, 5))));
@@ -131,7 +137,7 @@
     assertEquals(open().recoveredLog().entries(), entries(9, 9));
   }
 
-  /** A sync that succeeds after one that failed proves nothing, so the store takes no more. */
+  /** A sync that succeeds after a failed one proves nothing, so the store must refuse writes. */
   @Test
   public void rejectsWritesAfterFailedSync() throws StorageException {
     LogStore store = open();
@@ -146,7 +152,7 @@
     assertEquals(open().recoveredLog().entries(), entries(1, 5));
   }
 
-  /** The vote of a voter is gone if the name of its log's folder is. */
+  /** Unless the directory entry of its log's folder is synced, a voter may lose its vote. */
   @Test
   public void keepsGroupFolder() throws StorageException {
     try (DataFolder folder = DataFolder.open(disk, FOLDER, "cluster", "a")) {
@@ -158,7 +164,7 @@
     assertEquals(store.recoveredLog().hardState(), VOTED);
   }
 
-  /** A kill during the first start must not leave a folder that is refused for ever. */
+  /** A kill during the first start must not leave a folder that can never be opened. */
   @Test
   public void opensFolderAfterKillDuringCreation() throws StorageException {
     for (int operations = 0; operations < 10; operations++) {
@@ -167,7 +173,7 @@
       try {
         DataFolder.open(disk, FOLDER, "cluster", "a").close();
       } catch (ModelDisk.ProcessKilled e) {
-        // The next process goes on with what is left.
+        // The next process continues with the remaining files.
       }
       disk.restart();
       long incarnation = openAndReadIncarnation();
@@ -176,7 +182,7 @@
     }
   }
 
-  /** An epoch that a start has read is known after the next one too. */
+  /** An epoch that a process has read must not be lost by a later power loss. */
   @Test
   public void keepsEpochReadBackAfterKill() throws StorageException {
     openAndReadIncarnation();
