--- a/burdockbay-app/src/main/java/org/burdockbay/app/Main.java
+++ b/burdockbay-app/src/main/java/org/burdockbay/app/Main.java
@@ -35,7 +35,7 @@
 public final class Main {
 
   private static final Map<String, Supplier<Command>> COMMANDS = commands();
-  private static final int LINE_WIDTH = 100;
+  private static final int USAGE_WIDTH = 100;
 
   private Main() {}
 
@@ -46,7 +46,7 @@
 
   static ExitCode run(String[] arguments, PrintStream out, PrintStream err) {
     if (arguments.length == 0 || arguments[0].equals("help") || arguments[0].equals("--help")) {
-      overview(out);
+      printOverview(out);
       return ExitCode.OK;
     }
     Supplier<Command> supplier = COMMANDS.get(arguments[0]);
@@ -56,7 +56,7 @@
     }
     Command command = supplier.get();
     CmdLineParser parser =
-        new CmdLineParser(command, ParserProperties.defaults().withUsageWidth(LINE_WIDTH));
+        new CmdLineParser(command, ParserProperties.defaults().withUsageWidth(USAGE_WIDTH));
     String[] rest = Arrays.copyOfRange(arguments, 1, arguments.length);
     if (Arrays.asList(rest).contains("--help")) {
       out.println("burdockbay " + arguments[0] + ": " + command.summary());
@@ -96,7 +96,7 @@
     }
   }
 
-  private static void overview(PrintStream out) {
+  private static void printOverview(PrintStream out) {
     out.println("burdockbay COMMAND [OPTIONS]; 'burdockbay COMMAND --help' tells more");
     COMMANDS.forEach(
         (name, supplier) -> out.printf("  %-12s %s%n", name, supplier.get().summary()));
--- a/burdockbay-app/src/main/java/org/burdockbay/app/command/ApplyCommand.java
+++ b/burdockbay-app/src/main/java/org/burdockbay/app/command/ApplyCommand.java
@@ -14,10 +14,10 @@
 import org.kohsuke.args4j.Option;
 
 /** Applies a configuration document. */
-public final class ApplyCommand extends OperatorCommand {
+public final class ApplyCommand extends HostClientCommand {
 
-  private static final long POLL_MILLIS = 100;
-  private static final int TRIES = 5;
+  private static final long POLL_INTERVAL_MILLIS = 100;
+  private static final int MAX_ATTEMPTS = 5;
 
   @Argument(required = true, metaVar = "FILE", usage = "configuration document")
   private Path file;
@@ -27,7 +27,7 @@
       required = true,
       metaVar = "N",
       usage = "the version that was edited; 0 for the first document")
-  private long ifVersion;
+  private long expectedVersion;
 
   @Option(
       name = "--change-id",
@@ -39,7 +39,7 @@
   private String operator = "";
 
   @Option(name = "--wait-ms", metaVar = "MS", usage = "wait until it is in force on live hosts")
-  private long waitMillis;
+  private long timeoutMillis;
 
   @Override
   public String summary() {
@@ -48,22 +48,22 @@
 
   @Override
   public ExitCode run() throws BurdockbayException {
-    String text = DocumentFile.readValid(file);
+    String text = DocumentFile.readValidated(file);
     Map<String, Object> change = new LinkedHashMap<>();
     change.put("text", text);
-    change.put("expectedVersion", ifVersion);
+    change.put("expectedVersion", expectedVersion);
     change.put("changeId", changeId);
     change.put("operator", operator);
-    OperatorClient client = client();
-    long version = send(client, change).path("version").asLong();
+    HostClient client = client();
+    long version = sendWithRetries(client, change).path("version").asLong();
     System.out.println("accepted version=" + version + " change-id=" + changeId);
-    return waitMillis > 0 ? awaitInForce(client, version) : ExitCode.OK;
+    return timeoutMillis > 0 ? awaitInForce(client, version) : ExitCode.OK;
   }
 
-  private static JsonNode send(OperatorClient client, Map<String, Object> change)
+  private static JsonNode sendWithRetries(HostClient client, Map<String, Object> change)
       throws BurdockbayException {
     BurdockbayException last = null;
-    for (int i = 0; i < TRIES; i++) {
+    for (int i = 0; i < MAX_ATTEMPTS; i++) {
       try {
         return client.post("/v1/operator/configuration", change, Map.of());
       } catch (BurdockbayException e) {
@@ -77,22 +77,22 @@
     throw last;
   }
 
-  private ExitCode awaitInForce(OperatorClient client, long version) throws BurdockbayException {
-    long until = System.currentTimeMillis() + waitMillis;
+  private ExitCode awaitInForce(HostClient client, long version) throws BurdockbayException {
+    long until = System.currentTimeMillis() + timeoutMillis;
     List<String> behind = List.of();
     while (System.currentTimeMillis() < until) {
-      behind = behind(client, version);
+      behind = hostsBehind(client, version);
       if (behind.isEmpty()) {
         System.out.println("in force on every live host version=" + version);
         return ExitCode.OK;
       }
-      pause();
+      sleepUntilNextPoll();
     }
     System.out.println("not yet in force on " + String.join(", ", behind));
     return ExitCode.FAILED;
   }
 
-  private static List<String> behind(OperatorClient client, long version)
+  private static List<String> hostsBehind(HostClient client, long version)
       throws BurdockbayException {
     JsonNode report = client.get("/v1/operator/status").path("report");
     List<String> behind = new ArrayList<>();
@@ -107,9 +107,9 @@
     return behind;
   }
 
-  private static void pause() {
+  private static void sleepUntilNextPoll() {
     try {
-      Thread.sleep(POLL_MILLIS);
+      Thread.sleep(POLL_INTERVAL_MILLIS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
--- a/burdockbay-app/src/main/java/org/burdockbay/app/command/CancelCommand.java
+++ b/burdockbay-app/src/main/java/org/burdockbay/app/command/CancelCommand.java
@@ -6,13 +6,13 @@
 import org.kohsuke.args4j.Option;
 
 /** Cancels a submission. */
-public final class CancelCommand extends OperatorCommand {
+public final class CancelCommand extends HostClientCommand {
 
   @Argument(required = true, metaVar = "ID", usage = "submission id")
-  private String key;
+  private String submissionId;
 
   @Option(name = "--wait-ms", metaVar = "MS", usage = "how long to wait for the outcome")
-  private long waitMillis = 30_000;
+  private long timeoutMillis = 30_000;
 
   @Override
   public String summary() {
@@ -21,8 +21,9 @@
 
   @Override
   public ExitCode run() throws BurdockbayException {
-    OperatorClient client = client();
-    System.out.println(client.pretty(client.delete("/v1/jobs/" + key + "?wait=" + waitMillis)));
+    HostClient client = client();
+    System.out.println(
+        client.prettyPrint(client.delete("/v1/jobs/" + submissionId + "?wait=" + timeoutMillis)));
     return ExitCode.OK;
   }
 }
--- a/burdockbay-app/src/main/java/org/burdockbay/app/command/CheckCommand.java
+++ b/burdockbay-app/src/main/java/org/burdockbay/app/command/CheckCommand.java
@@ -15,7 +15,7 @@
   private Path file;
 
   @Option(name = "--settings", usage = "the file holds settings of a host instead")
-  private boolean settings;
+  private boolean isSettingsFile;
 
   @Override
   public String summary() {
@@ -24,10 +24,10 @@
 
   @Override
   public ExitCode run() throws BurdockbayException {
-    if (settings) {
+    if (isSettingsFile) {
       HostSettings.read(file);
     } else {
-      DocumentFile.readValid(file);
+      DocumentFile.readValidated(file);
     }
     System.out.println(file + ": valid");
     return ExitCode.OK;
--- a/burdockbay-app/src/main/java/org/burdockbay/app/command/DiffCommand.java
+++ b/burdockbay-app/src/main/java/org/burdockbay/app/command/DiffCommand.java
@@ -10,7 +10,7 @@
 import org.kohsuke.args4j.Argument;
 
 /** Compares a document with the one in force, by section and key. */
-public final class DiffCommand extends OperatorCommand {
+public final class DiffCommand extends HostClientCommand {
 
   @Argument(required = true, metaVar = "FILE", usage = "configuration document")
   private Path file;
@@ -23,8 +23,8 @@
   @Override
   public ExitCode run() throws BurdockbayException {
     String text = client().get("/v1/operator/configuration").path("text").asText();
-    Set<String> inForce = settings("in-force", text);
-    Set<String> given = settings(file.toString(), DocumentFile.read(file));
+    Set<String> inForce = settingLines("in-force", text);
+    Set<String> given = settingLines(file.toString(), DocumentFile.read(file));
     boolean same = true;
     for (String setting : inForce) {
       if (!given.contains(setting)) {
@@ -41,7 +41,7 @@
     return same ? ExitCode.OK : ExitCode.FAILED;
   }
 
-  private static Set<String> settings(String name, String text) throws BurdockbayException {
+  private static Set<String> settingLines(String name, String text) throws BurdockbayException {
     Set<String> settings = new LinkedHashSet<>();
     for (IniDocument.Section section : new IniReader(name).read(text).sections()) {
       settings.add("[" + section.header() + "]");
--- a/burdockbay-app/src/main/java/org/burdockbay/app/command/DocumentFile.java
+++ b/burdockbay-app/src/main/java/org/burdockbay/app/command/DocumentFile.java
@@ -13,7 +13,7 @@
   private DocumentFile() {}
 
   /** Returns the text of a valid document. */
-  static String readValid(Path file) throws BurdockbayException {
+  static String readValidated(Path file) throws BurdockbayException {
     String text = read(file);
     DispatchConfiguration.parse(file.toString(), 1, text);
     return text;
--- a/burdockbay-app/src/main/java/org/burdockbay/app/command/DrainCommand.java
+++ b/burdockbay-app/src/main/java/org/burdockbay/app/command/DrainCommand.java
@@ -5,7 +5,7 @@
 import org.burdockbay.core.error.BurdockbayException;
 
 /** Begins a planned stop of a host. */
-public final class DrainCommand extends OperatorCommand {
+public final class DrainCommand extends HostClientCommand {
 
   @Override
   public String summary() {
--- a/burdockbay-app/src/main/java/org/burdockbay/app/command/FollowCommand.java
+++ b/burdockbay-app/src/main/java/org/burdockbay/app/command/FollowCommand.java
@@ -6,13 +6,13 @@
 import org.kohsuke.args4j.Option;
 
 /** Asks for the answer of a submission. */
-public final class FollowCommand extends OperatorCommand {
+public final class FollowCommand extends HostClientCommand {
 
   @Argument(required = true, metaVar = "ID", usage = "submission id")
-  private String key;
+  private String submissionId;
 
   @Option(name = "--wait-ms", metaVar = "MS", usage = "how long to wait for the answer")
-  private long waitMillis = 30_000;
+  private long timeoutMillis = 30_000;
 
   @Override
   public String summary() {
@@ -21,8 +21,9 @@
 
   @Override
   public ExitCode run() throws BurdockbayException {
-    OperatorClient client = client();
-    System.out.println(client.pretty(client.get("/v1/jobs/" + key + "?wait=" + waitMillis)));
+    HostClient client = client();
+    System.out.println(
+        client.prettyPrint(client.get("/v1/jobs/" + submissionId + "?wait=" + timeoutMillis)));
     return ExitCode.OK;
   }
 }
--- a/burdockbay-app/src/main/java/org/burdockbay/app/command/HistoryCommand.java
+++ b/burdockbay-app/src/main/java/org/burdockbay/app/command/HistoryCommand.java
@@ -5,7 +5,7 @@
 import org.burdockbay.core.error.BurdockbayException;
 
 /** Lists the versions of the configuration that a host with a disk keeps. */
-public final class HistoryCommand extends OperatorCommand {
+public final class HistoryCommand extends HostClientCommand {
 
   @Override
   public String summary() {
--- a/burdockbay-app/src/main/java/org/burdockbay/app/command/OperatorClient.java
+++ b/burdockbay-app/src/main/java/org/burdockbay/app/command/HostClient.java
@@ -14,51 +14,51 @@
 import org.burdockbay.core.error.ErrorKind;
 
 /** Calls the HTTP API of a host and turns problem details into exceptions. */
-final class OperatorClient {
+final class HostClient {
 
   private static final MediaType JSON = MediaType.get("application/json");
   private static final long TIMEOUT_SECONDS = 60;
 
-  private final ObjectMapper json = new ObjectMapper();
+  private final ObjectMapper mapper = new ObjectMapper();
   private final OkHttpClient client =
       new OkHttpClient.Builder().callTimeout(TIMEOUT_SECONDS, TimeUnit.SECONDS).build();
   private final String host;
   private final String token;
 
-  OperatorClient(String host, String token) {
+  HostClient(String host, String token) {
     this.host = host;
     this.token = token;
   }
 
   JsonNode get(String path) throws BurdockbayException {
-    return call(request(path).get().build());
+    return execute(request(path).get().build());
   }
 
   JsonNode delete(String path) throws BurdockbayException {
-    return call(request(path).delete().build());
+    return execute(request(path).delete().build());
   }
 
   JsonNode post(String path, Object body, Map<String, String> headers) throws BurdockbayException {
     try {
       Request.Builder request =
-          request(path).post(RequestBody.create(json.writeValueAsBytes(body), JSON));
+          request(path).post(RequestBody.create(mapper.writeValueAsBytes(body), JSON));
       headers.forEach(request::header);
-      return call(request.build());
+      return execute(request.build());
     } catch (IOException e) {
       throw new BurdockbayException(ErrorKind.INTERNAL, "not JSON: " + e.getMessage(), e);
     }
   }
 
-  String pretty(JsonNode node) throws BurdockbayException {
+  String prettyPrint(JsonNode node) throws BurdockbayException {
     try {
-      return json.writerWithDefaultPrettyPrinter().writeValueAsString(node);
+      return mapper.writerWithDefaultPrettyPrinter().writeValueAsString(node);
     } catch (IOException e) {
       throw new BurdockbayException(ErrorKind.INTERNAL, "not JSON: " + e.getMessage(), e);
     }
   }
 
   ObjectMapper mapper() {
-    return json;
+    return mapper;
   }
 
   private Request.Builder request(String path) {
@@ -66,10 +66,10 @@
     return new Request.Builder().url(base + path).header("Authorization", "Bearer " + token);
   }
 
-  private JsonNode call(Request request) throws BurdockbayException {
+  private JsonNode execute(Request request) throws BurdockbayException {
     try (Response response = client.newCall(request).execute()) {
       String body = response.body().string();
-      JsonNode node = body.isEmpty() ? json.createObjectNode() : json.readTree(body);
+      JsonNode node = body.isEmpty() ? mapper.createObjectNode() : mapper.readTree(body);
       if (!response.isSuccessful()) {
         ErrorKind kind =
             ErrorKind.ofCode(node.path("title").asText()).orElse(ErrorKind.UNAVAILABLE);
--- a/burdockbay-app/src/main/java/org/burdockbay/app/command/OperatorCommand.java
+++ b/burdockbay-app/src/main/java/org/burdockbay/app/command/HostClientCommand.java
@@ -6,7 +6,7 @@
 import org.kohsuke.args4j.Option;
 
 /** Base of the commands that call a host as an operator. */
-abstract class OperatorCommand implements Command {
+abstract class HostClientCommand implements Command {
 
   @Option(name = "--host", required = true, metaVar = "IP:PORT", usage = "HTTP address of a host")
   private String host;
@@ -18,11 +18,11 @@
   private String token;
 
   /** Returns a client for the host that the options name. */
-  final OperatorClient client() throws BurdockbayException {
+  final HostClient client() throws BurdockbayException {
     String given = token == null ? System.getenv("BURDOCKBAY_TOKEN") : token;
     if (given == null) {
       throw new BurdockbayException(ErrorKind.BAD_REQUEST, "give --token or set BURDOCKBAY_TOKEN");
     }
-    return new OperatorClient(host, given);
+    return new HostClient(host, given);
   }
 }
--- a/burdockbay-app/src/main/java/org/burdockbay/app/command/InitCommand.java
+++ b/burdockbay-app/src/main/java/org/burdockbay/app/command/InitCommand.java
@@ -21,7 +21,7 @@
 public final class InitCommand implements Command {
 
   @Option(name = "--settings", required = true, metaVar = "FILE", usage = "settings of the host")
-  private Path settings;
+  private Path settingsFile;
 
   @Override
   public String summary() {
@@ -30,13 +30,13 @@
 
   @Override
   public ExitCode run() throws BurdockbayException {
-    HostSettings host = HostSettings.read(settings);
+    HostSettings host = HostSettings.read(settingsFile);
     Path path =
         host.dataFolder()
             .orElseThrow(
                 () ->
                     new BurdockbayException(
-                        ErrorKind.BAD_REQUEST, settings + ": [host] data-folder is not set"));
+                        ErrorKind.BAD_REQUEST, settingsFile + ": [host] data-folder is not set"));
     List<VoterId> voters =
         host.voterIds().stream()
             .map(id -> new VoterId(id, DataFolder.BOOTSTRAP_INCARNATION))
--- a/burdockbay-app/src/main/java/org/burdockbay/app/command/LoadCommand.java
+++ b/burdockbay-app/src/main/java/org/burdockbay/app/command/LoadCommand.java
@@ -17,7 +17,7 @@
 public final class LoadCommand implements Command {
 
   @Argument(required = true, metaVar = "MIX", usage = "file with the kinds of job")
-  private Path mix;
+  private Path mixFile;
 
   @Option(name = "--hosts", required = true, metaVar = "IP:PORT,...", usage = "entry hosts")
   private String hosts;
@@ -47,8 +47,8 @@
 
   @Override
   public ExitCode run() throws BurdockbayException {
-    LoadMix kinds = LoadMix.parse(mix.toString(), DocumentFile.read(mix));
-    List<Arrival> plan = ArrivalPlan.of(kinds, load, slots, seconds * 1000L, seed);
+    LoadMix kinds = LoadMix.parse(mixFile.toString(), DocumentFile.read(mixFile));
+    List<Arrival> plan = ArrivalPlan.generate(kinds, load, slots, seconds * 1000L, seed);
     LoadDriver driver =
         new LoadDriver(List.of(hosts.split(",")), token, "run" + System.currentTimeMillis());
     try {
@@ -56,7 +56,7 @@
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
-    System.out.println(LoadReport.line(load, plan, slots, driver, roundTripMillis));
+    System.out.println(LoadReport.formatLine(load, plan, slots, driver, roundTripMillis));
     return driver.wrongAnswers() == 0 ? ExitCode.OK : ExitCode.FAILED;
   }
 }
--- a/burdockbay-app/src/main/java/org/burdockbay/app/command/MembersCommand.java
+++ b/burdockbay-app/src/main/java/org/burdockbay/app/command/MembersCommand.java
@@ -5,9 +5,9 @@
 import org.burdockbay.core.error.BurdockbayException;
 
 /** Lists the hosts that a host hears of. */
-public final class MembersCommand extends OperatorCommand {
+public final class MembersCommand extends HostClientCommand {
 
-  private static final String ROW = "%-16s %-12s %-8s %-10s %-8s %-6s%n";
+  private static final String ROW_FORMAT = "%-16s %-12s %-8s %-10s %-8s %-6s%n";
 
   @Override
   public String summary() {
@@ -17,15 +17,15 @@
   @Override
   public ExitCode run() throws BurdockbayException {
     JsonNode report = client().get("/v1/operator/status").path("report");
-    System.out.printf(ROW, "HOST", "DOMAIN", "VERSION", "DISPATCHES", "LEADER", "DRAINS");
-    row(report.path("self"));
-    report.path("live").forEach(MembersCommand::row);
+    System.out.printf(ROW_FORMAT, "HOST", "DOMAIN", "VERSION", "DISPATCHES", "LEADER", "DRAINS");
+    printRow(report.path("self"));
+    report.path("live").forEach(MembersCommand::printRow);
     return ExitCode.OK;
   }
 
-  private static void row(JsonNode host) {
+  private static void printRow(JsonNode host) {
     System.out.printf(
-        ROW,
+        ROW_FORMAT,
         host.path("host").asText(),
         host.path("domain").asText(),
         host.path("configurationVersion").asLong(),
--- a/burdockbay-app/src/main/java/org/burdockbay/app/command/RunnerCommand.java
+++ b/burdockbay-app/src/main/java/org/burdockbay/app/command/RunnerCommand.java
@@ -78,7 +78,7 @@
                         name,
                         runner.startedTasks(),
                         runner.startCalls(),
-                        runner.messages())));
+                        runner.receivedCalls())));
     try {
       new CountDownLatch(1).await();
     } catch (InterruptedException e) {
--- a/burdockbay-app/src/main/java/org/burdockbay/app/command/RunnersCommand.java
+++ b/burdockbay-app/src/main/java/org/burdockbay/app/command/RunnersCommand.java
@@ -33,7 +33,7 @@
   private int slots = 8;
 
   @Option(name = "--fail-all", metaVar = "N", usage = "how many of them fail everything at once")
-  private int failAll;
+  private int failingRunners;
 
   @Override
   public String summary() {
@@ -45,7 +45,7 @@
     OkHttpClient client = new OkHttpClient();
     List<StandInRunner> runners = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      RunnerFaults faults = new RunnerFaults(i < failAll, 1.0, 0.0, 0.0);
+      RunnerFaults faults = new RunnerFaults(i < failingRunners, 1.0, 0.0, 0.0);
       runners.add(
           new StandInRunner(
               new RunnerOptions(
--- a/burdockbay-app/src/main/java/org/burdockbay/app/command/ServeCommand.java
+++ b/burdockbay-app/src/main/java/org/burdockbay/app/command/ServeCommand.java
@@ -15,7 +15,7 @@
 public final class ServeCommand implements Command {
 
   @Option(name = "--settings", required = true, metaVar = "FILE", usage = "settings of the host")
-  private Path settings;
+  private Path settingsFile;
 
   @Override
   public String summary() {
@@ -25,7 +25,7 @@
   @Override
   public ExitCode run() throws BurdockbayException {
     LazyResources.preload();
-    Host host = DaggerHostComponent.factory().create(HostSettings.read(settings)).host();
+    Host host = DaggerHostComponent.factory().create(HostSettings.read(settingsFile)).host();
     // SIGTERM begins the planned stop; the hook holds the process until it is done. It must not
     // wait for the main thread: where the stop fails, that thread exits, and exiting waits for
     // all hooks.
--- a/burdockbay-app/src/main/java/org/burdockbay/app/command/ShowCommand.java
+++ b/burdockbay-app/src/main/java/org/burdockbay/app/command/ShowCommand.java
@@ -6,10 +6,10 @@
 import org.kohsuke.args4j.Option;
 
 /** Prints the configuration in force. */
-public final class ShowCommand extends OperatorCommand {
+public final class ShowCommand extends HostClientCommand {
 
   @Option(name = "--json", usage = "print JSON with the version")
-  private boolean json;
+  private boolean printJson;
 
   @Override
   public String summary() {
@@ -18,10 +18,10 @@
 
   @Override
   public ExitCode run() throws BurdockbayException {
-    OperatorClient client = client();
+    HostClient client = client();
     JsonNode document = client.get("/v1/operator/configuration");
-    if (json) {
-      System.out.println(client.pretty(document));
+    if (printJson) {
+      System.out.println(client.prettyPrint(document));
     } else {
       System.err.println("version " + document.path("version").asLong());
       System.out.print(document.path("text").asText());
--- a/burdockbay-app/src/main/java/org/burdockbay/app/command/SlopesCommand.java
+++ b/burdockbay-app/src/main/java/org/burdockbay/app/command/SlopesCommand.java
@@ -2,7 +2,7 @@
 
 import org.burdockbay.app.Command;
 import org.burdockbay.app.ExitCode;
-import org.burdockbay.bench.slope.Slopes;
+import org.burdockbay.bench.slope.CoreBenchmark;
 import org.burdockbay.core.error.BurdockbayException;
 
 /** Measures the slopes of docs/CAPACITY.md. */
@@ -15,7 +15,7 @@
 
   @Override
   public ExitCode run() throws BurdockbayException {
-    new Slopes(System.out).run();
+    new CoreBenchmark(System.out).run();
     return ExitCode.OK;
   }
 }
--- a/burdockbay-app/src/main/java/org/burdockbay/app/command/StatusCommand.java
+++ b/burdockbay-app/src/main/java/org/burdockbay/app/command/StatusCommand.java
@@ -6,10 +6,10 @@
 import org.kohsuke.args4j.Option;
 
 /** Prints the state of a host. */
-public final class StatusCommand extends OperatorCommand {
+public final class StatusCommand extends HostClientCommand {
 
   @Option(name = "--json", usage = "print JSON")
-  private boolean json;
+  private boolean printJson;
 
   @Override
   public String summary() {
@@ -18,25 +18,25 @@
 
   @Override
   public ExitCode run() throws BurdockbayException {
-    OperatorClient client = client();
+    HostClient client = client();
     JsonNode status = client.get("/v1/operator/status");
-    if (json) {
-      System.out.println(client.pretty(status));
+    if (printJson) {
+      System.out.println(client.prettyPrint(status));
       return ExitCode.OK;
     }
     JsonNode report = status.path("report");
-    print("host", report.path("self"));
-    print("dispatch", report.path("dispatch"));
-    print("agreement", report.path("agreement"));
+    printFields("host", report.path("self"));
+    printFields("dispatch", report.path("dispatch"));
+    printFields("agreement", report.path("agreement"));
     System.out.println("waiting-requests=" + report.path("waitingRequests").asInt());
     status
         .path("responseMillis")
         .properties()
-        .forEach(entry -> print("response-ms " + entry.getKey(), entry.getValue()));
+        .forEach(entry -> printFields("response-ms " + entry.getKey(), entry.getValue()));
     return ExitCode.OK;
   }
 
-  private static void print(String title, JsonNode node) {
+  private static void printFields(String title, JsonNode node) {
     StringBuilder line = new StringBuilder(title);
     node.properties()
         .forEach(
--- a/burdockbay-app/src/main/java/org/burdockbay/app/command/SubmitCommand.java
+++ b/burdockbay-app/src/main/java/org/burdockbay/app/command/SubmitCommand.java
@@ -15,13 +15,13 @@
 import org.kohsuke.args4j.Option;
 
 /** Submits a job as a caller. */
-public final class SubmitCommand extends OperatorCommand {
+public final class SubmitCommand extends HostClientCommand {
 
   @Option(name = "--job", required = true, metaVar = "NAME", usage = "kind of job")
   private String job;
 
   @Option(name = "--key", metaVar = "ID", usage = "submission id, for safe resubmission")
-  private String key;
+  private String submissionId;
 
   @Option(name = "--deadline-ms", metaVar = "MS", usage = "deadline, from now")
   private long deadlineMillis;
@@ -36,7 +36,7 @@
 
   @Override
   public ExitCode run() throws BurdockbayException {
-    OperatorClient client = client();
+    HostClient client = client();
     ObjectNode body = client.mapper().createObjectNode();
     body.put("job", job);
     ArrayNode payloads = body.putArray("tasks");
@@ -48,14 +48,14 @@
       }
     }
     Map<String, String> headers = new HashMap<>();
-    if (key != null) {
-      headers.put("Idempotency-Key", key);
+    if (submissionId != null) {
+      headers.put("Idempotency-Key", submissionId);
     }
     if (deadlineMillis > 0) {
       headers.put("Burdockbay-Deadline-Ms", Long.toString(deadlineMillis));
     }
     JsonNode answer = client.post("/v1/jobs", body, headers);
-    System.out.println(client.pretty(answer));
+    System.out.println(client.prettyPrint(answer));
     return ExitCode.OK;
   }
 }
--- a/burdockbay-app/src/main/java/org/burdockbay/app/command/WatchCommand.java
+++ b/burdockbay-app/src/main/java/org/burdockbay/app/command/WatchCommand.java
@@ -5,12 +5,12 @@
 import org.kohsuke.args4j.Option;
 
 /** Prints a line for each version of the configuration that comes into force on a host. */
-public final class WatchCommand extends OperatorCommand {
+public final class WatchCommand extends HostClientCommand {
 
-  private static final long POLL_MILLIS = 500;
+  private static final long POLL_INTERVAL_MILLIS = 500;
 
   @Option(name = "--count", metaVar = "N", usage = "end after this many versions; 0 for never")
-  private int count;
+  private int maxVersions;
 
   @Override
   public String summary() {
@@ -19,25 +19,25 @@
 
   @Override
   public ExitCode run() throws BurdockbayException {
-    OperatorClient client = client();
+    HostClient client = client();
     long last = -1;
     int seen = 0;
-    while (count == 0 || seen < count) {
+    while (maxVersions == 0 || seen < maxVersions) {
       long version = client.get("/v1/operator/configuration").path("version").asLong();
       if (version != last) {
         System.out.println("version=" + version);
         last = version;
         seen++;
-      } else if (!pause()) {
+      } else if (!sleepUntilNextPoll()) {
         break;
       }
     }
     return ExitCode.OK;
   }
 
-  private static boolean pause() {
+  private static boolean sleepUntilNextPoll() {
     try {
-      Thread.sleep(POLL_MILLIS);
+      Thread.sleep(POLL_INTERVAL_MILLIS);
       return true;
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
--- a/burdockbay-app/src/test/java/org/burdockbay/app/MainTest.java
+++ b/burdockbay-app/src/test/java/org/burdockbay/app/MainTest.java
@@ -13,7 +13,7 @@
 
   /** A command that throws must not leave a process that only its other threads keep alive. */
   @Test
-  public void endsAfterCommandThatThrows() {
+  public void returnsFailedWhenCommandThrows() {
     ByteArrayOutputStream lines = new ByteArrayOutputStream();
     PrintStream err = new PrintStream(lines, true, StandardCharsets.UTF_8);
     assertEquals(Main.run(new ThrowingCommand(), err), ExitCode.FAILED);
--- a/burdockbay-app/src/test/java/org/burdockbay/app/ProcessFailureTest.java
+++ b/burdockbay-app/src/test/java/org/burdockbay/app/ProcessFailureTest.java
@@ -14,7 +14,7 @@
 public class ProcessFailureTest {
 
   private static final int JOBS = 6;
-  private static final int TASKS_A_JOB = 2;
+  private static final int TASKS_PER_JOB = 2;
   private TestCluster cluster;
 
   /** Starts the hosts once for all tests. */
@@ -33,8 +33,8 @@
 
   /** Brings every host back, also after a test that failed half way. */
   @AfterMethod(alwaysRun = true)
-  public void startAllHosts() throws Exception {
-    cluster.startAll();
+  public void restoreAllHosts() throws Exception {
+    cluster.restoreAll();
   }
 
   /**
@@ -43,14 +43,14 @@
    */
   @Test
   public void finishesBookingsWhenTheDispatcherIsKilled() throws Exception {
-    String dispatcher = dispatcher();
+    String dispatcher = awaitDispatcher();
     final int before = cluster.startedTasks();
     List<CompletableFuture<TestCluster.Answer>> answers =
-        submitAll(other(dispatcher), "kill", 1_500);
-    cluster.await("tasks run", () -> cluster.startedTasks() >= before + JOBS * TASKS_A_JOB);
+        submitAll(otherNorthHost(dispatcher), "kill", 1_500);
+    cluster.await("tasks run", () -> cluster.startedTasks() >= before + JOBS * TASKS_PER_JOB);
     cluster.kill(dispatcher);
-    expectAll(answers);
-    assertEquals(cluster.startedTasks(), before + JOBS * TASKS_A_JOB);
+    assertAllAnswered(answers);
+    assertEquals(cluster.startedTasks(), before + JOBS * TASKS_PER_JOB);
     cluster.start(dispatcher);
     awaitReady(dispatcher);
   }
@@ -60,17 +60,17 @@
    * first comes back and goes on where it was. Nothing may be booked twice by the two.
    */
   @Test
-  public void finishesBookingsWhenTheDispatcherFreezesAndReturns() throws Exception {
-    String dispatcher = dispatcher();
+  public void finishesBookingsWhenTheDispatcherIsPausedAndResumed() throws Exception {
+    String dispatcher = awaitDispatcher();
     final int before = cluster.startedTasks();
     List<CompletableFuture<TestCluster.Answer>> answers =
-        submitAll(other(dispatcher), "freeze", 1_500);
-    cluster.await("tasks run", () -> cluster.startedTasks() >= before + JOBS * TASKS_A_JOB);
-    cluster.signal(dispatcher, "STOP");
-    expectAll(answers);
-    cluster.signal(dispatcher, "CONT");
-    expectAll(submitAll(other(dispatcher), "freeze", 1_500));
-    assertEquals(cluster.startedTasks(), before + JOBS * TASKS_A_JOB);
+        submitAll(otherNorthHost(dispatcher), "freeze", 1_500);
+    cluster.await("tasks run", () -> cluster.startedTasks() >= before + JOBS * TASKS_PER_JOB);
+    cluster.sendSignal(dispatcher, "STOP");
+    assertAllAnswered(answers);
+    cluster.sendSignal(dispatcher, "CONT");
+    assertAllAnswered(submitAll(otherNorthHost(dispatcher), "freeze", 1_500));
+    assertEquals(cluster.startedTasks(), before + JOBS * TASKS_PER_JOB);
     awaitReady(dispatcher);
   }
 
@@ -79,15 +79,15 @@
    * all before it exits with 0.
    */
   @Test
-  public void answersEveryoneBeforePlannedStops() throws Exception {
-    String dispatcher = dispatcher();
+  public void answersAllCallersBeforePlannedStop() throws Exception {
+    String dispatcher = awaitDispatcher();
     final int before = cluster.startedTasks();
     List<CompletableFuture<TestCluster.Answer>> answers = submitAll(dispatcher, "stop", 1_500);
-    cluster.await("tasks run", () -> cluster.startedTasks() >= before + JOBS * TASKS_A_JOB);
-    cluster.signal(dispatcher, "TERM");
-    expectAll(answers);
+    cluster.await("tasks run", () -> cluster.startedTasks() >= before + JOBS * TASKS_PER_JOB);
+    cluster.sendSignal(dispatcher, "TERM");
+    assertAllAnswered(answers);
     assertEquals(cluster.awaitExit(dispatcher), 0);
-    assertEquals(cluster.startedTasks(), before + JOBS * TASKS_A_JOB);
+    assertEquals(cluster.startedTasks(), before + JOBS * TASKS_PER_JOB);
     cluster.start(dispatcher);
     awaitReady(dispatcher);
   }
@@ -97,30 +97,30 @@
    * under a new identity, without an operator, and the configuration must be in force on it.
    */
   @Test
-  public void takesHostsWithLostDisksBackAsNewVoters() throws Exception {
+  public void readmitsHostWithLostDiskAsNewVoter() throws Exception {
     cluster.kill("c");
-    cluster.wipe("c");
+    cluster.deleteDataFolder("c");
     cluster.start("c");
     awaitReady("c");
     cluster.await(
         "c votes under a new incarnation",
         () -> {
-          String voters = cluster.report("a").path("agreement").path("voters").toString();
+          String voters = cluster.statusReport("a").path("agreement").path("voters").toString();
           return voters.contains("\"c#") && !voters.contains("\"c#1\"");
         });
-    assertEquals(cluster.report("c").path("self").path("configurationVersion").asLong(), 1);
+    assertEquals(cluster.statusReport("c").path("self").path("configurationVersion").asLong(), 1);
   }
 
-  private String dispatcher() throws Exception {
+  private String awaitDispatcher() throws Exception {
     cluster.await("domain north has a dispatcher", () -> !cluster.northDispatcher().isEmpty());
     String dispatcher = cluster.northDispatcher();
     cluster.await(
         "the dispatcher guards",
-        () -> cluster.report(dispatcher).path("dispatch").path("guarding").asBoolean());
+        () -> cluster.statusReport(dispatcher).path("dispatch").path("guarding").asBoolean());
     return dispatcher;
   }
 
-  private static String other(String host) {
+  private static String otherNorthHost(String host) {
     return host.equals("a") ? "b" : "a";
   }
 
@@ -133,17 +133,18 @@
     return answers;
   }
 
-  private static void expectAll(List<CompletableFuture<TestCluster.Answer>> answers) {
+  private static void assertAllAnswered(List<CompletableFuture<TestCluster.Answer>> answers) {
     for (CompletableFuture<TestCluster.Answer> answer : answers) {
       TestCluster.Answer got = answer.join();
       assertEquals(got.code(), 200, got.body().toString());
-      assertEquals(got.body().path("answers").size(), TASKS_A_JOB);
+      assertEquals(got.body().path("answers").size(), TASKS_PER_JOB);
     }
   }
 
   private void awaitReady(String host) throws Exception {
     cluster.await(host + " is ready", () -> cluster.get(host, "/ready", "").code() == 200);
     // A host that has just started waits until it has heard of the runners and of every domain.
-    cluster.await(host + " hears the others", () -> cluster.report(host).path("live").size() == 2);
+    cluster.await(
+        host + " hears the others", () -> cluster.statusReport(host).path("live").size() == 2);
   }
 }
--- a/burdockbay-app/src/test/java/org/burdockbay/app/TestCluster.java
+++ b/burdockbay-app/src/test/java/org/burdockbay/app/TestCluster.java
@@ -34,12 +34,12 @@
 /** Hosts as processes of the real program on loopback, and stand-in runners in this one. */
 final class TestCluster implements AutoCloseable {
 
-  private static final String OPERATOR = "operator-token-0123";
-  private static final String RUNNER = "runner-token-0123456";
-  private static final String CALLER = "caller-credential";
+  private static final String OPERATOR_TOKEN = "operator-token-0123";
+  private static final String RUNNER_TOKEN = "runner-token-0123456";
+  private static final String CALLER_CREDENTIAL = "caller-credential";
   private static final MediaType JSON = MediaType.get("application/json");
-  private static final long PATIENCE_MILLIS = 60_000;
-  private static final int LOG_LINES = 30;
+  private static final long TIMEOUT_MILLIS = 60_000;
+  private static final int LOG_TAIL_LINES = 30;
 
   final List<StandInRunner> runners = new ArrayList<>();
   private final Map<String, String> domains = new LinkedHashMap<>();
@@ -47,12 +47,12 @@
   private final Map<String, Integer> httpPorts = new HashMap<>();
   private final Map<String, Process> processes = new HashMap<>();
   private final Map<Process, Path> logs = new HashMap<>();
-  private final Set<String> meantToRun = new HashSet<>();
-  private final ObjectMapper json = new ObjectMapper();
+  private final Set<String> expectedRunning = new HashSet<>();
+  private final ObjectMapper mapper = new ObjectMapper();
   private final OkHttpClient client =
       new OkHttpClient.Builder()
-          .callTimeout(PATIENCE_MILLIS, TimeUnit.MILLISECONDS)
-          .readTimeout(PATIENCE_MILLIS, TimeUnit.MILLISECONDS)
+          .callTimeout(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
+          .readTimeout(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
           .build();
   private final Path folder;
 
@@ -76,8 +76,8 @@
       httpPorts.put(host, freePort());
     }
     for (String host : domains.keySet()) {
-      Files.writeString(folder.resolve(host + ".ini"), settings(host));
-      Process init = program("init", "--settings", folder.resolve(host + ".ini").toString());
+      Files.writeString(folder.resolve(host + ".ini"), settingsText(host));
+      Process init = startProgram("init", "--settings", folder.resolve(host + ".ini").toString());
       if (init.waitFor() != 0) {
         throw new IllegalStateException("init of " + host + " failed");
       }
@@ -86,23 +86,24 @@
     for (String domain : List.of("north", "north", "south")) {
       startRunner(domain);
     }
-    await("the configuration is applied", this::configure);
+    await("the configuration is applied", this::applyConfiguration);
     for (String host : domains.keySet()) {
       await(host + " is ready", () -> get(host, "/ready", "").code() == 200);
     }
-    await("guarded jobs are taken", () -> guarding("a") || guarding("b"));
+    await("guarded jobs are taken", () -> startsAtMostOnceJobs("a") || startsAtMostOnceJobs("b"));
   }
 
   void start(String host) throws IOException {
-    processes.put(host, program("serve", "--settings", folder.resolve(host + ".ini").toString()));
-    meantToRun.add(host);
+    processes.put(
+        host, startProgram("serve", "--settings", folder.resolve(host + ".ini").toString()));
+    expectedRunning.add(host);
   }
 
   /** Lets frozen hosts go on and starts those that have ended, so that no test sees another's. */
-  void startAll() throws Exception {
+  void restoreAll() throws Exception {
     for (String host : domains.keySet()) {
       if (processes.get(host).isAlive()) {
-        signal(host, "CONT");
+        sendSignal(host, "CONT");
       } else {
         start(host);
       }
@@ -115,9 +116,9 @@
 
   /** Waits for a host to end by itself; the failure shows what its threads are doing. */
   int awaitExit(String host) throws Exception {
-    meantToRun.remove(host);
+    expectedRunning.remove(host);
     Process process = processes.get(host);
-    if (!process.waitFor(PATIENCE_MILLIS, TimeUnit.MILLISECONDS)) {
+    if (!process.waitFor(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)) {
       Process stacks =
           new ProcessBuilder(
                   Path.of(System.getProperty("java.home"), "bin", "jstack").toString(),
@@ -132,22 +133,22 @@
 
   /** Kills a host as a power loss does. */
   void kill(String host) throws InterruptedException {
-    meantToRun.remove(host);
+    expectedRunning.remove(host);
     processes.get(host).destroyForcibly().waitFor();
   }
 
   /** Sends a signal to a host. */
-  void signal(String host, String name) throws Exception {
+  void sendSignal(String host, String name) throws Exception {
     if (name.equals("TERM") || name.equals("ILL")) {
-      meantToRun.remove(host);
+      expectedRunning.remove(host);
     }
     new ProcessBuilder("kill", "-" + name, Long.toString(processes.get(host).pid()))
         .start()
         .waitFor();
   }
 
-  void wipe(String host) throws IOException {
-    delete(folder.resolve("data-" + host));
+  void deleteDataFolder(String host) throws IOException {
+    deleteRecursively(folder.resolve("data-" + host));
   }
 
   /** Submits a job of two tasks; the future gets the status code and the body. */
@@ -157,28 +158,28 @@
     return CompletableFuture.supplyAsync(
         () -> {
           Request request =
-              request(host, "/v1/jobs", CALLER)
+              request(host, "/v1/jobs", CALLER_CREDENTIAL)
                   .header("Idempotency-Key", key)
                   .post(RequestBody.create(body, JSON))
                   .build();
-          return call(request);
+          return execute(request);
         },
         Executors.newVirtualThreadPerTaskExecutor());
   }
 
   Answer get(String host, String path, String token) {
-    return call(request(host, path, token).build());
+    return execute(request(host, path, token).build());
   }
 
-  JsonNode report(String host) {
-    Answer answer = get(host, "/v1/operator/status", OPERATOR);
-    return answer.code() == 200 ? answer.body().path("report") : json.createObjectNode();
+  JsonNode statusReport(String host) {
+    Answer answer = get(host, "/v1/operator/status", OPERATOR_TOKEN);
+    return answer.code() == 200 ? answer.body().path("report") : mapper.createObjectNode();
   }
 
   /** Returns the host that dispatches in domain north, as a live host sees it. */
   String northDispatcher() {
     for (String host : List.of("a", "b")) {
-      if (report(host).path("self").path("dispatcherEpoch").asLong() != 0) {
+      if (statusReport(host).path("self").path("dispatcherEpoch").asLong() != 0) {
         return host;
       }
     }
@@ -194,17 +195,17 @@
    * has ended: it will never hold then, and waits of a minute each would look like a hang.
    */
   void await(String what, Callable<Boolean> condition) throws Exception {
-    long until = System.currentTimeMillis() + PATIENCE_MILLIS;
+    long until = System.currentTimeMillis() + TIMEOUT_MILLIS;
     while (!condition.call()) {
-      for (String host : meantToRun) {
+      for (String host : expectedRunning) {
         if (!processes.get(host).isAlive()) {
           throw new AssertionError(
               "%s has ended with %d while waiting for: %s%n%s"
-                  .formatted(host, processes.get(host).exitValue(), what, endOfLog(host)));
+                  .formatted(host, processes.get(host).exitValue(), what, logTail(host)));
         }
       }
       if (System.currentTimeMillis() > until) {
-        throw new AssertionError("timed out: " + what + endsOfLogs());
+        throw new AssertionError("timed out: " + what + logTails());
       }
       Thread.sleep(50);
     }
@@ -217,14 +218,14 @@
     for (Process process : processes.values()) {
       process.onExit().join();
     }
-    delete(folder);
+    deleteRecursively(folder);
   }
 
-  private boolean guarding(String host) {
-    return report(host).path("dispatch").path("guarding").asBoolean();
+  private boolean startsAtMostOnceJobs(String host) {
+    return statusReport(host).path("dispatch").path("guarding").asBoolean();
   }
 
-  private boolean configure() {
+  private boolean applyConfiguration() {
     String text =
         """
         [service desk]
@@ -237,15 +238,15 @@
         credential-sha256 = %s
         services = desk
         """
-            .formatted(Credentials.sha256(CALLER));
+            .formatted(Credentials.sha256(CALLER_CREDENTIAL));
     Map<String, Object> change =
         Map.of("text", text, "expectedVersion", 0, "changeId", "first", "operator", "test");
     try {
       Request request =
-          request("a", "/v1/operator/configuration", OPERATOR)
-              .post(RequestBody.create(json.writeValueAsBytes(change), JSON))
+          request("a", "/v1/operator/configuration", OPERATOR_TOKEN)
+              .post(RequestBody.create(mapper.writeValueAsBytes(change), JSON))
               .build();
-      return call(request).code() == 200;
+      return execute(request).code() == 200;
     } catch (IOException e) {
       throw new IllegalStateException(e);
     }
@@ -268,20 +269,20 @@
                 List.of(),
                 8,
                 hosts,
-                RUNNER,
+                RUNNER_TOKEN,
                 RunnerFaults.NONE),
             client);
     runner.start();
     runners.add(runner);
   }
 
-  private String settings(String host) {
+  private String settingsText(String host) {
     StringBuilder text = new StringBuilder();
     text.append("[host]\nid = ").append(host);
     text.append("\ndomain = ").append(domains.get(host));
     text.append("\ncluster = test\nsecret = secret-0123456789ab");
-    text.append("\noperator-token = ").append(OPERATOR);
-    text.append("\nrunner-token = ").append(RUNNER);
+    text.append("\noperator-token = ").append(OPERATOR_TOKEN);
+    text.append("\nrunner-token = ").append(RUNNER_TOKEN);
     text.append("\npeer-address = 127.0.0.1:").append(peerPorts.get(host));
     text.append("\nhttp-address = 127.0.0.1:").append(httpPorts.get(host));
     text.append("\ndata-folder = ").append(folder.resolve("data-" + host)).append('\n');
@@ -296,7 +297,7 @@
     return text.toString();
   }
 
-  private Process program(String... arguments) throws IOException {
+  private Process startProgram(String... arguments) throws IOException {
     List<String> command = new ArrayList<>();
     command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
     command.addAll(List.of("-Xmx96m", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1"));
@@ -316,15 +317,16 @@
     return process;
   }
 
-  private String endOfLog(String host) throws IOException {
+  private String logTail(String host) throws IOException {
     List<String> lines = Files.readAllLines(logs.get(processes.get(host)));
-    return String.join("\n", lines.subList(Math.max(0, lines.size() - LOG_LINES), lines.size()));
+    return String.join(
+        "\n", lines.subList(Math.max(0, lines.size() - LOG_TAIL_LINES), lines.size()));
   }
 
-  private String endsOfLogs() throws IOException {
+  private String logTails() throws IOException {
     StringBuilder text = new StringBuilder();
     for (String host : processes.keySet()) {
-      text.append("\nlog of ").append(host).append(":\n").append(endOfLog(host));
+      text.append("\nlog of ").append(host).append(":\n").append(logTail(host));
     }
     return text.toString();
   }
@@ -335,13 +337,14 @@
         .header("Authorization", "Bearer " + token);
   }
 
-  private Answer call(Request request) {
+  private Answer execute(Request request) {
     try (Response response = client.newCall(request).execute()) {
       String text = response.body().string();
       boolean object = text.startsWith("{");
-      return new Answer(response.code(), object ? json.readTree(text) : json.createObjectNode());
+      return new Answer(
+          response.code(), object ? mapper.readTree(text) : mapper.createObjectNode());
     } catch (IOException e) {
-      return new Answer(0, json.createObjectNode());
+      return new Answer(0, mapper.createObjectNode());
     }
   }
 
@@ -351,7 +354,7 @@
     }
   }
 
-  private static void delete(Path path) throws IOException {
+  private static void deleteRecursively(Path path) throws IOException {
     try (Stream<Path> files = Files.walk(path)) {
       for (Path file : files.sorted((x, y) -> y.compareTo(x)).toList()) {
         Files.delete(file);
--- a/burdockbay-bench/src/main/java/org/burdockbay/bench/load/Arrival.java
+++ b/burdockbay-bench/src/main/java/org/burdockbay/bench/load/Arrival.java
@@ -5,14 +5,14 @@
 /**
  * One job of the load.
  *
- * @param atMillis when it arrives, from the start of the run
+ * @param offsetMillis when it arrives, from the start of the run
  * @param job kind of job
- * @param runMillis run time of each task
+ * @param taskRunMillis run time of each task
  */
-public record Arrival(double atMillis, String job, List<Integer> runMillis) {
+public record Arrival(double offsetMillis, String job, List<Integer> taskRunMillis) {
 
   /** Copies the run times. */
   public Arrival {
-    runMillis = List.copyOf(runMillis);
+    taskRunMillis = List.copyOf(taskRunMillis);
   }
 }
--- a/burdockbay-bench/src/main/java/org/burdockbay/bench/load/ArrivalPlan.java
+++ b/burdockbay-bench/src/main/java/org/burdockbay/bench/load/ArrivalPlan.java
@@ -10,10 +10,10 @@
   private ArrivalPlan() {}
 
   /** Returns the arrivals of a run. */
-  public static List<Arrival> of(
+  public static List<Arrival> generate(
       LoadMix mix, double load, int slots, long durationMillis, long seed) {
     SplittableRandom random = new SplittableRandom(seed);
-    double workPerJob = meanWork(mix);
+    double workPerJob = meanWorkMillis(mix);
     double gapMillis = workPerJob / (load * slots);
     List<Arrival> arrivals = new ArrayList<>();
     double at = 0;
@@ -22,12 +22,12 @@
       if (at >= durationMillis) {
         return arrivals;
       }
-      arrivals.add(arrival(mix, at, random));
+      arrivals.add(nextArrival(mix, at, random));
     }
   }
 
-  private static Arrival arrival(LoadMix mix, double at, SplittableRandom random) {
-    LoadMix.Kind kind = choose(mix, random);
+  private static Arrival nextArrival(LoadMix mix, double at, SplittableRandom random) {
+    LoadMix.JobKind kind = chooseKind(mix, random);
     int tasks = random.nextInt(kind.tasksMin(), kind.tasksMax() + 1);
     List<Integer> runs = new ArrayList<>(tasks);
     for (int i = 0; i < tasks; i++) {
@@ -37,10 +37,10 @@
     return new Arrival(at, kind.job(), runs);
   }
 
-  private static LoadMix.Kind choose(LoadMix mix, SplittableRandom random) {
-    double total = mix.kinds().stream().mapToDouble(LoadMix.Kind::share).sum();
+  private static LoadMix.JobKind chooseKind(LoadMix mix, SplittableRandom random) {
+    double total = mix.kinds().stream().mapToDouble(LoadMix.JobKind::share).sum();
     double dice = random.nextDouble() * total;
-    for (LoadMix.Kind kind : mix.kinds()) {
+    for (LoadMix.JobKind kind : mix.kinds()) {
       dice -= kind.share();
       if (dice < 0) {
         return kind;
@@ -50,10 +50,10 @@
   }
 
   /** Returns the mean work of a job in milliseconds of one slot. */
-  private static double meanWork(LoadMix mix) {
+  private static double meanWorkMillis(LoadMix mix) {
     double work = 0;
     double shares = 0;
-    for (LoadMix.Kind kind : mix.kinds()) {
+    for (LoadMix.JobKind kind : mix.kinds()) {
       double ratio = (double) kind.runMaxMillis() / kind.runMinMillis();
       double run =
           ratio == 1.0
--- a/burdockbay-bench/src/main/java/org/burdockbay/bench/load/LoadDriver.java
+++ b/burdockbay-bench/src/main/java/org/burdockbay/bench/load/LoadDriver.java
@@ -29,27 +29,27 @@
 public final class LoadDriver {
 
   private static final MediaType JSON = MediaType.get("application/json");
-  private static final int MOST_CALLS = 50_000;
-  private static final long HIGHEST_MILLIS = 3_600_000;
+  private static final int MAX_CONCURRENT_CALLS = 50_000;
+  private static final long MAX_RESPONSE_MILLIS = 3_600_000;
   private static final long TIMEOUT_SECONDS = 60;
 
   private final List<String> hosts;
   private final String token;
-  private final String run;
+  private final String runId;
   private final ObjectMapper json = new ObjectMapper();
   private final OkHttpClient client;
-  private final ConcurrentHistogram responses = new ConcurrentHistogram(HIGHEST_MILLIS, 3);
+  private final ConcurrentHistogram responseTimes = new ConcurrentHistogram(MAX_RESPONSE_MILLIS, 3);
   private final Map<String, AtomicInteger> outcomes = new ConcurrentHashMap<>();
-  private final AtomicInteger wrong = new AtomicInteger();
+  private final AtomicInteger wrongAnswers = new AtomicInteger();
 
   /** Creates a driver; {@code run} makes the submission ids of this run unlike any other's. */
   public LoadDriver(List<String> hosts, String token, String run) {
     this.hosts = List.copyOf(hosts);
     this.token = token;
-    this.run = run;
+    this.runId = run;
     Dispatcher dispatcher = new Dispatcher(Executors.newVirtualThreadPerTaskExecutor());
-    dispatcher.setMaxRequests(MOST_CALLS);
-    dispatcher.setMaxRequestsPerHost(MOST_CALLS);
+    dispatcher.setMaxRequests(MAX_CONCURRENT_CALLS);
+    dispatcher.setMaxRequestsPerHost(MAX_CONCURRENT_CALLS);
     this.client =
         new OkHttpClient.Builder()
             .dispatcher(dispatcher)
@@ -65,7 +65,7 @@
     long start = System.nanoTime();
     for (int i = 0; i < plan.size(); i++) {
       Arrival arrival = plan.get(i);
-      long due = start + Math.round(arrival.atMillis() * 1e6);
+      long due = start + Math.round(arrival.offsetMillis() * 1e6);
       while (System.nanoTime() < due) {
         LockSupport.parkNanos(due - System.nanoTime());
       }
@@ -75,8 +75,8 @@
   }
 
   /** Returns the response times of completed jobs, in milliseconds. */
-  public ConcurrentHistogram responses() {
-    return responses;
+  public ConcurrentHistogram responseTimes() {
+    return responseTimes;
   }
 
   /** Returns how many jobs ended in which way. */
@@ -86,50 +86,50 @@
 
   /** Returns the answers that were not those to their own request. */
   public int wrongAnswers() {
-    return wrong.get();
+    return wrongAnswers.get();
   }
 
   private void send(int number, Arrival arrival, long due, CountDownLatch open) {
     StringBuilder tasks = new StringBuilder();
-    for (int i = 0; i < arrival.runMillis().size(); i++) {
+    for (int i = 0; i < arrival.taskRunMillis().size(); i++) {
       tasks.append(i == 0 ? "" : ",");
-      tasks.append("{\"mark\":\"").append(run).append('-').append(number).append('-').append(i);
-      tasks.append("\",\"runMillis\":").append(arrival.runMillis().get(i)).append('}');
+      tasks.append("{\"mark\":\"").append(runId).append('-').append(number).append('-').append(i);
+      tasks.append("\",\"runMillis\":").append(arrival.taskRunMillis().get(i)).append('}');
     }
     String body = "{\"job\":\"" + arrival.job() + "\",\"tasks\":[" + tasks + "]}";
     Request request =
         new Request.Builder()
             .url("http://" + hosts.get(number % hosts.size()) + "/v1/jobs")
             .header("Authorization", "Bearer " + token)
-            .header("Idempotency-Key", run + "-" + number)
+            .header("Idempotency-Key", runId + "-" + number)
             .post(RequestBody.create(body, JSON))
             .build();
-    client.newCall(request).enqueue(new Collector(number, arrival, due, open));
+    client.newCall(request).enqueue(new ResponseCallback(number, arrival, due, open));
   }
 
-  private void count(String outcome) {
+  private void countOutcome(String outcome) {
     outcomes.computeIfAbsent(outcome, name -> new AtomicInteger()).incrementAndGet();
   }
 
   /** Checks one answer and notes its time. */
-  private final class Collector implements Callback {
+  private final class ResponseCallback implements Callback {
 
-    private final int number;
+    private final int jobNumber;
     private final Arrival arrival;
-    private final long due;
-    private final CountDownLatch open;
+    private final long dueNanos;
+    private final CountDownLatch pending;
 
-    Collector(int number, Arrival arrival, long due, CountDownLatch open) {
-      this.number = number;
+    ResponseCallback(int number, Arrival arrival, long due, CountDownLatch open) {
+      this.jobNumber = number;
       this.arrival = arrival;
-      this.due = due;
-      this.open = open;
+      this.dueNanos = due;
+      this.pending = open;
     }
 
     @Override
     public void onFailure(Call call, IOException e) {
-      count("io-" + e.getClass().getSimpleName());
-      open.countDown();
+      countOutcome("io-" + e.getClass().getSimpleName());
+      pending.countDown();
     }
 
     @Override
@@ -137,28 +137,28 @@
       try (response) {
         JsonNode answer = json.readTree(response.body().string());
         if (response.isSuccessful()) {
-          responses.recordValue(Math.max(1, (System.nanoTime() - due) / 1_000_000));
-          count("completed");
-          check(answer);
+          responseTimes.recordValue(Math.max(1, (System.nanoTime() - dueNanos) / 1_000_000));
+          countOutcome("completed");
+          verifyAnswer(answer);
         } else {
-          count(answer.path("title").asText("status-" + response.code()));
+          countOutcome(answer.path("title").asText("status-" + response.code()));
         }
       } catch (IOException e) {
-        count("io-" + e.getClass().getSimpleName());
+        countOutcome("io-" + e.getClass().getSimpleName());
       } finally {
-        open.countDown();
+        pending.countDown();
       }
     }
 
-    private void check(JsonNode answer) {
+    private void verifyAnswer(JsonNode answer) {
       JsonNode answers = answer.path("answers");
-      boolean right = answers.size() == arrival.runMillis().size();
+      boolean right = answers.size() == arrival.taskRunMillis().size();
       for (int i = 0; right && i < answers.size(); i++) {
         String mark = answers.get(i).path("echo").path("mark").asText();
-        right = mark.equals(run + "-" + number + "-" + i);
+        right = mark.equals(runId + "-" + jobNumber + "-" + i);
       }
       if (!right) {
-        wrong.incrementAndGet();
+        wrongAnswers.incrementAndGet();
       }
     }
   }
--- a/burdockbay-bench/src/main/java/org/burdockbay/bench/load/LoadMix.java
+++ b/burdockbay-bench/src/main/java/org/burdockbay/bench/load/LoadMix.java
@@ -17,7 +17,7 @@
  *
  * @param kinds the kinds with their shares
  */
-public record LoadMix(List<Kind> kinds) {
+public record LoadMix(List<JobKind> kinds) {
 
   private static final DocumentSchema SCHEMA =
       DocumentSchema.of(
@@ -34,7 +34,7 @@
                   key("run-max-ms").wholeNumber(1, 60_000).build("Longest run time."))));
 
   /** One kind of job; run times are spread evenly on a logarithmic scale. */
-  public record Kind(
+  public record JobKind(
       String job, double share, int tasksMin, int tasksMax, int runMinMillis, int runMaxMillis) {}
 
   /**
@@ -52,7 +52,7 @@
         sections.stream()
             .map(
                 section ->
-                    new Kind(
+                    new JobKind(
                         section.text("job"),
                         section.ratio("share"),
                         section.wholeNumber("tasks-min"),
--- a/burdockbay-bench/src/main/java/org/burdockbay/bench/load/LoadReport.java
+++ b/burdockbay-bench/src/main/java/org/burdockbay/bench/load/LoadReport.java
@@ -16,13 +16,13 @@
    * @param roundTripMillis added to each reference, since a central queue is also reached over a
    *     network
    */
-  public static String line(
+  public static String formatLine(
       double load, List<Arrival> plan, int slots, LoadDriver driver, double roundTripMillis) {
-    Histogram subject = driver.responses();
-    Histogram ideal = histogram(QueueReference.central(plan, slots), roundTripMillis);
-    Histogram noWait = histogram(QueueReference.withoutWait(plan), roundTripMillis);
-    Histogram split = histogram(QueueReference.separate(plan, slots, 3), roundTripMillis);
-    int tasks = plan.stream().mapToInt(arrival -> arrival.runMillis().size()).sum();
+    Histogram subject = driver.responseTimes();
+    Histogram ideal = histogram(QueueModel.centralQueue(plan, slots), roundTripMillis);
+    Histogram noWait = histogram(QueueModel.withoutQueueing(plan), roundTripMillis);
+    Histogram split = histogram(QueueModel.separateQueues(plan, slots, 3), roundTripMillis);
+    int tasks = plan.stream().mapToInt(arrival -> arrival.taskRunMillis().size()).sum();
     String outcomes =
         driver.outcomes().entrySet().stream()
             .map(entry -> entry.getKey() + ":" + entry.getValue())
@@ -38,16 +38,16 @@
         tasks,
         outcomes,
         driver.wrongAnswers(),
-        at(subject, 50),
-        at(subject, 99),
-        at(ideal, 50),
-        at(ideal, 99),
-        ratio(subject, ideal, 50),
-        ratio(subject, ideal, 99),
-        ratio(split, ideal, 50),
-        ratio(split, ideal, 99),
-        ratio(subject, noWait, 50),
-        ratio(subject, noWait, 99));
+        valueAtPercentile(subject, 50),
+        valueAtPercentile(subject, 99),
+        valueAtPercentile(ideal, 50),
+        valueAtPercentile(ideal, 99),
+        percentileRatio(subject, ideal, 50),
+        percentileRatio(subject, ideal, 99),
+        percentileRatio(split, ideal, 50),
+        percentileRatio(split, ideal, 99),
+        percentileRatio(subject, noWait, 50),
+        percentileRatio(subject, noWait, 99));
   }
 
   private static Histogram histogram(List<Double> responses, double extra) {
@@ -56,11 +56,12 @@
     return histogram;
   }
 
-  private static long at(Histogram histogram, double percentile) {
+  private static long valueAtPercentile(Histogram histogram, double percentile) {
     return histogram.getValueAtPercentile(percentile);
   }
 
-  private static double ratio(Histogram subject, Histogram reference, double percentile) {
-    return (double) at(subject, percentile) / Math.max(1, at(reference, percentile));
+  private static double percentileRatio(Histogram subject, Histogram reference, double percentile) {
+    return (double) valueAtPercentile(subject, percentile)
+        / Math.max(1, valueAtPercentile(reference, percentile));
   }
 }
--- a/burdockbay-bench/src/main/java/org/burdockbay/bench/runner/AttemptRecord.java
+++ b/burdockbay-bench/src/main/java/org/burdockbay/bench/runner/AttemptRecord.java
@@ -8,6 +8,7 @@
  *
  * @param id its id
  * @param result completes when it ends
- * @param startedAt when it was seen, in milliseconds
+ * @param recordedAt when it was seen, in milliseconds
  */
-record AttemptRecord(String id, CompletableFuture<RunnerMessages.Attempt> result, long startedAt) {}
+record AttemptRecord(
+    String id, CompletableFuture<RunnerMessages.Attempt> result, long recordedAt) {}
--- a/burdockbay-bench/src/main/java/org/burdockbay/bench/runner/StandInRunner.java
+++ b/burdockbay-bench/src/main/java/org/burdockbay/bench/runner/StandInRunner.java
@@ -37,10 +37,10 @@
 public final class StandInRunner implements AutoCloseable {
 
   private static final MediaType JSON = MediaType.get("application/json");
-  private static final long RENEW_MILLIS = 1_000;
-  private static final long REMEMBER_MILLIS = 120_000;
-  private static final long SHORTEST_RUN_MILLIS = 1;
-  private static final int THREADS = 8;
+  private static final long ANNOUNCEMENT_INTERVAL_MILLIS = 1_000;
+  private static final long ATTEMPT_RETENTION_MILLIS = 120_000;
+  private static final long MIN_RUN_MILLIS = 1;
+  private static final int MAX_HTTP_THREADS = 8;
 
   private final RunnerOptions options;
   private final ObjectMapper json = new ObjectMapper();
@@ -50,12 +50,12 @@
   private final Javalin javalin;
   private final Map<String, AttemptRecord> attempts = new LinkedHashMap<>();
   private final AtomicInteger startCalls = new AtomicInteger();
-  private final AtomicInteger starts = new AtomicInteger();
-  private final AtomicLong messages = new AtomicLong();
+  private final AtomicInteger startedTasks = new AtomicInteger();
+  private final AtomicLong receivedCalls = new AtomicLong();
   private volatile RunnerFaults faults;
   private volatile boolean leaving;
-  private long epoch;
-  private int running;
+  private long highestEpoch;
+  private int runningTasks;
 
   /** Creates a runner that is not started yet. */
   public StandInRunner(RunnerOptions options, OkHttpClient client) {
@@ -67,22 +67,23 @@
             config -> {
               config.startup.showJavalinBanner = false;
               config.http.asyncTimeout = 0;
-              config.jetty.threadPool = new QueuedThreadPool(THREADS, 2);
-              config.routes.post("/v1/attempts", this::startCalled);
-              config.routes.post("/v1/attempts/ask", this::askCalled);
-              config.routes.post("/v1/attempts/cancel", this::cancelCalled);
-              config.routes.post("/v1/fence", this::fenceCalled);
+              config.jetty.threadPool = new QueuedThreadPool(MAX_HTTP_THREADS, 2);
+              config.routes.post("/v1/attempts", this::handleStart);
+              config.routes.post("/v1/attempts/ask", this::handleQuery);
+              config.routes.post("/v1/attempts/cancel", this::handleCancel);
+              config.routes.post("/v1/fence", this::handleFence);
             });
   }
 
   /** Listens and announces itself until it is closed. */
   public void start() {
     javalin.start(options.ip(), options.port());
-    timer.scheduleAtFixedRate(this::announce, 0, RENEW_MILLIS, TimeUnit.MILLISECONDS);
+    timer.scheduleAtFixedRate(
+        this::announce, 0, ANNOUNCEMENT_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
   }
 
   /** Changes the faults. */
-  public void faults(RunnerFaults changed) {
+  public void setFaults(RunnerFaults changed) {
     faults = changed;
   }
 
@@ -94,7 +95,7 @@
 
   /** Returns the tasks that it has started. */
   public int startedTasks() {
-    return starts.get();
+    return startedTasks.get();
   }
 
   /** Returns the start calls that arrived, refused ones included. */
@@ -103,8 +104,8 @@
   }
 
   /** Returns all calls that arrived, announcements not included. */
-  public long messages() {
-    return messages.get();
+  public long receivedCalls() {
+    return receivedCalls.get();
   }
 
   @Override
@@ -132,25 +133,25 @@
                 .header("Authorization", "Bearer " + options.token())
                 .post(RequestBody.create(json.writeValueAsBytes(body), JSON))
                 .build();
-        client.newCall(request).enqueue(new Ignore());
+        client.newCall(request).enqueue(new DiscardingCallback());
       } catch (IOException e) {
         throw new IllegalStateException("an announcement is always JSON", e);
       }
     }
   }
 
-  private void startCalled(Context context) throws IOException {
-    messages.incrementAndGet();
+  private void handleStart(Context context) throws IOException {
+    receivedCalls.incrementAndGet();
     startCalls.incrementAndGet();
     RunnerMessages.Start call = json.readValue(context.body(), RunnerMessages.Start.class);
     double dice = Math.random();
-    if (dice < faults.silentStarts()) {
-      accept(call);
+    if (dice < faults.silentStartShare()) {
+      acceptStart(call);
       context.future(CompletableFuture::new);
       return;
     }
-    CompletableFuture<RunnerMessages.Attempt> result = accept(call);
-    boolean lost = dice < faults.silentStarts() + faults.loseAnswers();
+    CompletableFuture<RunnerMessages.Attempt> result = acceptStart(call);
+    boolean lost = dice < faults.silentStartShare() + faults.lostAnswerShare();
     context.future(
         () ->
             result.thenAccept(
@@ -158,49 +159,52 @@
                   if (lost) {
                     context.status(500).result("");
                   } else {
-                    answer(context, attempt);
+                    respond(context, attempt);
                   }
                 }));
   }
 
   /** Starts the attempt, or tells why not; the same id never starts twice. */
-  private synchronized CompletableFuture<RunnerMessages.Attempt> accept(RunnerMessages.Start call) {
+  private synchronized CompletableFuture<RunnerMessages.Attempt> acceptStart(
+      RunnerMessages.Start call) {
     if (call.incarnation() != incarnation) {
-      return ended(call.attempt(), RunnerMessages.REJECTED, null, "meant for an earlier run");
+      return completedAttempt(
+          call.attempt(), RunnerMessages.REJECTED, null, "meant for an earlier run");
     }
-    if (call.epoch() < epoch) {
+    if (call.epoch() < highestEpoch) {
       return CompletableFuture.completedFuture(
-          new RunnerMessages.Attempt(call.attempt(), RunnerMessages.FENCED, null, null, epoch));
+          new RunnerMessages.Attempt(
+              call.attempt(), RunnerMessages.FENCED, null, null, highestEpoch));
     }
-    epoch = call.epoch();
+    highestEpoch = call.epoch();
     AttemptRecord known = attempts.get(call.attempt());
     if (known != null) {
       return known.result();
     }
-    if (running >= options.slots()) {
-      return ended(call.attempt(), RunnerMessages.REJECTED, null, "busy");
+    if (runningTasks >= options.slots()) {
+      return completedAttempt(call.attempt(), RunnerMessages.REJECTED, null, "busy");
     }
-    return run(call);
+    return runTask(call);
   }
 
-  private CompletableFuture<RunnerMessages.Attempt> run(RunnerMessages.Start call) {
-    starts.incrementAndGet();
-    running++;
+  private CompletableFuture<RunnerMessages.Attempt> runTask(RunnerMessages.Start call) {
+    startedTasks.incrementAndGet();
+    runningTasks++;
     CompletableFuture<RunnerMessages.Attempt> result = new CompletableFuture<>();
     attempts.put(
         call.attempt(), new AttemptRecord(call.attempt(), result, System.currentTimeMillis()));
-    JsonNode payload = payload(call.payload());
+    JsonNode payload = parsePayload(call.payload());
     long millis =
         faults.failAll()
-            ? SHORTEST_RUN_MILLIS
+            ? MIN_RUN_MILLIS
             : Math.max(
-                SHORTEST_RUN_MILLIS,
+                MIN_RUN_MILLIS,
                 Math.round(payload.path("runMillis").asLong(50) * faults.slowFactor()));
-    timer.schedule(() -> finish(call, payload, result), millis, TimeUnit.MILLISECONDS);
+    timer.schedule(() -> finishTask(call, payload, result), millis, TimeUnit.MILLISECONDS);
     return result;
   }
 
-  private void finish(
+  private void finishTask(
       RunnerMessages.Start call,
       JsonNode payload,
       CompletableFuture<RunnerMessages.Attempt> result) {
@@ -210,70 +214,71 @@
             ? new RunnerMessages.Attempt(
                 call.attempt(), RunnerMessages.FAILED, null, "the task failed", 0)
             : new RunnerMessages.Attempt(
-                call.attempt(), RunnerMessages.SUCCEEDED, answerText(call), null, 0);
-    free(result, end);
+                call.attempt(), RunnerMessages.SUCCEEDED, answerJson(call), null, 0);
+    completeAttempt(result, end);
   }
 
-  private void free(CompletableFuture<RunnerMessages.Attempt> result, RunnerMessages.Attempt end) {
+  private void completeAttempt(
+      CompletableFuture<RunnerMessages.Attempt> result, RunnerMessages.Attempt end) {
     synchronized (this) {
       if (result.isDone()) {
         return;
       }
-      running--;
-      forgetOld();
+      runningTasks--;
+      removeExpiredAttempts();
     }
     result.complete(end);
   }
 
-  private String answerText(RunnerMessages.Start call) {
+  private String answerJson(RunnerMessages.Start call) {
     return "{\"runner\":\"" + options.name() + "\",\"echo\":" + call.payload() + "}";
   }
 
-  private void forgetOld() {
-    long before = System.currentTimeMillis() - REMEMBER_MILLIS;
+  private void removeExpiredAttempts() {
+    long before = System.currentTimeMillis() - ATTEMPT_RETENTION_MILLIS;
     attempts
         .values()
-        .removeIf(attempt -> attempt.result().isDone() && attempt.startedAt() < before);
+        .removeIf(attempt -> attempt.result().isDone() && attempt.recordedAt() < before);
   }
 
-  private void askCalled(Context context) throws IOException {
-    messages.incrementAndGet();
+  private void handleQuery(Context context) throws IOException {
+    receivedCalls.incrementAndGet();
     RunnerMessages.Query call = json.readValue(context.body(), RunnerMessages.Query.class);
-    answer(context, status(call));
+    respond(context, queryStatus(call));
   }
 
   /** Tells how an attempt stands; one that never began is refused from now on. */
-  private synchronized RunnerMessages.Attempt status(RunnerMessages.Query call) {
+  private synchronized RunnerMessages.Attempt queryStatus(RunnerMessages.Query call) {
     if (call.incarnation() != incarnation) {
-      return attempt(call.attempt(), RunnerMessages.REJECTED, "meant for an earlier run");
+      return attemptStatus(call.attempt(), RunnerMessages.REJECTED, "meant for an earlier run");
     }
     AttemptRecord known = attempts.get(call.attempt());
     if (known == null) {
       RunnerMessages.Attempt refused =
-          attempt(call.attempt(), RunnerMessages.REJECTED, "asked after before it arrived");
+          attemptStatus(call.attempt(), RunnerMessages.REJECTED, "asked after before it arrived");
       attempts.put(
           call.attempt(),
           new AttemptRecord(
               call.attempt(),
               CompletableFuture.completedFuture(refused),
               System.currentTimeMillis()));
-      return attempt(call.attempt(), RunnerMessages.NEVER_BEGAN, null);
+      return attemptStatus(call.attempt(), RunnerMessages.NEVER_BEGAN, null);
     }
-    return report(known);
+    return currentStatus(known);
   }
 
-  private static RunnerMessages.Attempt report(AttemptRecord record) {
+  private static RunnerMessages.Attempt currentStatus(AttemptRecord record) {
     RunnerMessages.Attempt end = record.result().getNow(null);
     if (end == null) {
-      return attempt(record.id(), RunnerMessages.RUNNING, null);
+      return attemptStatus(record.id(), RunnerMessages.RUNNING, null);
     }
     return end.status().equals(RunnerMessages.REJECTED)
-        ? attempt(record.id(), RunnerMessages.NEVER_BEGAN, null)
+        ? attemptStatus(record.id(), RunnerMessages.NEVER_BEGAN, null)
         : end;
   }
 
-  private void cancelCalled(Context context) throws IOException {
-    messages.incrementAndGet();
+  private void handleCancel(Context context) throws IOException {
+    receivedCalls.incrementAndGet();
     RunnerMessages.Cancel call = json.readValue(context.body(), RunnerMessages.Cancel.class);
     for (String id : call.attempts()) {
       AttemptRecord known;
@@ -281,29 +286,29 @@
         known = attempts.get(id);
       }
       if (known != null) {
-        free(known.result(), attempt(id, RunnerMessages.FAILED, "cancelled"));
+        completeAttempt(known.result(), attemptStatus(id, RunnerMessages.FAILED, "cancelled"));
       }
     }
     context.status(204);
   }
 
-  private void fenceCalled(Context context) throws IOException {
-    messages.incrementAndGet();
+  private void handleFence(Context context) throws IOException {
+    receivedCalls.incrementAndGet();
     RunnerMessages.Fence call = json.readValue(context.body(), RunnerMessages.Fence.class);
     List<RunnerMessages.Attempt> inventory = new ArrayList<>();
     long obeyed;
     synchronized (this) {
       if (call.incarnation() == incarnation) {
-        epoch = Math.max(epoch, call.epoch());
-        attempts.values().forEach(record -> inventory.add(report(record)));
+        highestEpoch = Math.max(highestEpoch, call.epoch());
+        attempts.values().forEach(record -> inventory.add(currentStatus(record)));
       }
-      obeyed = call.incarnation() == incarnation ? epoch : 0;
+      obeyed = call.incarnation() == incarnation ? highestEpoch : 0;
     }
     inventory.removeIf(line -> line.status().equals(RunnerMessages.NEVER_BEGAN));
-    answer(context, new RunnerMessages.Inventory(obeyed, inventory));
+    respond(context, new RunnerMessages.Inventory(obeyed, inventory));
   }
 
-  private void answer(Context context, Object body) {
+  private void respond(Context context, Object body) {
     try {
       context.contentType("application/json").result(json.writeValueAsBytes(body));
     } catch (IOException e) {
@@ -311,7 +316,7 @@
     }
   }
 
-  private JsonNode payload(String text) {
+  private JsonNode parsePayload(String text) {
     try {
       return json.readTree(text);
     } catch (IOException e) {
@@ -319,18 +324,19 @@
     }
   }
 
-  private static CompletableFuture<RunnerMessages.Attempt> ended(
+  private static CompletableFuture<RunnerMessages.Attempt> completedAttempt(
       String id, String status, @Nullable String answer, @Nullable String reason) {
     return CompletableFuture.completedFuture(
         new RunnerMessages.Attempt(id, status, answer, reason, 0));
   }
 
-  private static RunnerMessages.Attempt attempt(String id, String status, @Nullable String reason) {
+  private static RunnerMessages.Attempt attemptStatus(
+      String id, String status, @Nullable String reason) {
     return new RunnerMessages.Attempt(id, status, null, reason, 0);
   }
 
   /** A host that can't be reached misses this announcement and gets the next. */
-  private static final class Ignore implements Callback {
+  private static final class DiscardingCallback implements Callback {
 
     @Override
     public void onFailure(Call call, IOException e) {
--- a/burdockbay-bench/src/main/java/org/burdockbay/bench/slope/Slopes.java
+++ b/burdockbay-bench/src/main/java/org/burdockbay/bench/slope/CoreBenchmark.java
@@ -35,10 +35,10 @@
 import org.burdockbay.wire.PeerCodec;
 
 /** Measures the core alone, in one thread and with no network, and prints one line a figure. */
-public final class Slopes {
+public final class CoreBenchmark {
 
-  private static final int SLOTS = 8;
-  private static final int TASKS_A_JOB = 20;
+  private static final int SLOTS_PER_RUNNER = 8;
+  private static final int TASKS_PER_JOB = 20;
   private static final int JOBS = 5_000;
   private static final int ROUNDS = 3;
   private static final String CONFIGURATION =
@@ -58,7 +58,7 @@
   private final PrintStream out;
 
   /** Creates the measurement with where it prints. */
-  public Slopes(PrintStream out) {
+  public CoreBenchmark(PrintStream out) {
     this.out = out;
   }
 
@@ -69,20 +69,20 @@
    */
   public void run() throws BurdockbayException {
     for (int runners : new int[] {10, 40, 160, 320}) {
-      dispatch(runners);
+      measureDispatch(runners);
     }
     for (int records : new int[] {1_000, 10_000, 100_000}) {
-      ledger(records);
+      measureLedger(records);
     }
     for (int hosts : new int[] {7, 14, 28, 56}) {
-      membership(hosts);
+      measureMembership(hosts);
     }
   }
 
-  private void dispatch(int runners) throws StateChartException, ConfigurationException {
+  private void measureDispatch(int runners) throws StateChartException, ConfigurationException {
     double best = Double.MAX_VALUE;
     for (int round = 0; round < ROUNDS; round++) {
-      best = Math.min(best, dispatchRound(runners));
+      best = Math.min(best, measureDispatchRound(runners));
     }
     print(
         String.format(
@@ -94,7 +94,7 @@
   }
 
   /** Returns the time of one task through the dispatcher, in microseconds. */
-  private static double dispatchRound(int runners)
+  private static double measureDispatchRound(int runners)
       throws StateChartException, ConfigurationException {
     Dispatcher dispatcher = new Dispatcher("north");
     long now = 1_000_000;
@@ -102,9 +102,9 @@
         new DispatchEvent.ConfigurationChanged(
             DispatchConfiguration.parse("slopes", 1, CONFIGURATION)),
         now);
-    announce(dispatcher, runners, now);
+    announceRunners(dispatcher, runners, now);
     now += 1_600;
-    announce(dispatcher, runners, now);
+    announceRunners(dispatcher, runners, now);
     dispatcher.handle(new DispatchEvent.EpochGranted(9), now);
     for (int i = 0; i < runners; i++) {
       dispatcher.handle(
@@ -115,11 +115,11 @@
     int ended = 0;
     long start = System.nanoTime();
     for (int job = 0; job < JOBS; job++) {
-      collect(dispatcher.handle(submission(job), now), running);
-      int most = runners * SLOTS * 9 / 10;
+      collectStarts(dispatcher.handle(jobSubmission(job), now), running);
+      int most = runners * SLOTS_PER_RUNNER * 9 / 10;
       while (running.size() > most || (job == JOBS - 1 && !running.isEmpty())) {
         DispatchEffect.StartAttempt first = running.remove();
-        collect(
+        collectStarts(
             dispatcher.handle(
                 new DispatchEvent.AttemptEnded(
                     first.attempt(), first.runner(), new AttemptOutcome.Succeeded("1")),
@@ -129,16 +129,16 @@
       }
       if (job % 50 == 0) {
         now += 25;
-        announce(dispatcher, runners, now);
+        announceRunners(dispatcher, runners, now);
         dispatcher.handle(new DispatchEvent.Tick(), now);
       }
     }
     return (System.nanoTime() - start) / 1e3 / ended;
   }
 
-  private static DispatchEvent submission(int job) {
+  private static DispatchEvent jobSubmission(int job) {
     List<String> tasks = new ArrayList<>();
-    for (int i = 0; i < TASKS_A_JOB; i++) {
+    for (int i = 0; i < TASKS_PER_JOB; i++) {
       tasks.add("{\"lot\":" + i + "}");
     }
     JobRequest request =
@@ -147,7 +147,7 @@
     return new DispatchEvent.JobSubmitted(request, "host", Arrival.FIRST);
   }
 
-  private static void collect(
+  private static void collectStarts(
       List<DispatchEffect> effects, Deque<DispatchEffect.StartAttempt> running) {
     for (DispatchEffect effect : effects) {
       if (effect instanceof DispatchEffect.StartAttempt start) {
@@ -156,28 +156,33 @@
     }
   }
 
-  private static void announce(Dispatcher dispatcher, int runners, long now) {
+  private static void announceRunners(Dispatcher dispatcher, int runners, long now) {
     for (int i = 0; i < runners; i++) {
       RunnerAnnouncement announcement =
           new RunnerAnnouncement(
-              new RunnerId("r" + i, 1), "http://x", Set.of("desk"), Set.of(), SLOTS, false);
+              new RunnerId("r" + i, 1),
+              "http://x",
+              Set.of("desk"),
+              Set.of(),
+              SLOTS_PER_RUNNER,
+              false);
       dispatcher.handle(new DispatchEvent.RunnerAnnounced(announcement), now);
     }
   }
 
-  private void ledger(int records) {
+  private void measureLedger(int records) {
     ControlState state = new ControlState();
-    long heapBefore = usedHeap();
+    long heapBefore = usedHeapBytes();
     long start = System.nanoTime();
-    apply(state, new LedgerRequest.Register(5));
+    applyRequest(state, new LedgerRequest.Register(5));
     JobOutcome outcome = new JobOutcome.Completed(List.of("{\"booked\":true}"));
     for (int i = 0; i < records; i++) {
       SubmissionKey key = new SubmissionKey("clerk-" + i % 23, "session-" + i);
-      apply(state, new LedgerRequest.Open(5, key, "0123456789abcdef".repeat(4), 2));
-      apply(state, new LedgerRequest.Close(5, key, outcome));
+      applyRequest(state, new LedgerRequest.Open(5, key, "0123456789abcdef".repeat(4), 2));
+      applyRequest(state, new LedgerRequest.Close(5, key, outcome));
     }
     double micros = (System.nanoTime() - start) / 1e3 / records;
-    long bytes = (usedHeap() - heapBefore) / records;
+    long bytes = (usedHeapBytes() - heapBefore) / records;
     start = System.nanoTime();
     int size = ControlCodec.toBytes(state.image()).size();
     double imageMillis = (System.nanoTime() - start) / 1e6;
@@ -193,11 +198,11 @@
             imageMillis));
   }
 
-  private static void apply(ControlState state, LedgerRequest request) {
+  private static void applyRequest(ControlState state, LedgerRequest request) {
     state.apply(new ControlCommand.LedgerOperation(new LedgerCommand("north", request)), 1);
   }
 
-  private void membership(int hosts) {
+  private void measureMembership(int hosts) {
     Map<String, String> domains = new TreeMap<>();
     for (int i = 0; i < hosts; i++) {
       domains.put("host-" + i, "domain-" + i % 8);
@@ -233,7 +238,7 @@
             (hosts - 1) * 4 * (bytes + 4)));
   }
 
-  private static long usedHeap() {
+  private static long usedHeapBytes() {
     System.gc();
     Runtime runtime = Runtime.getRuntime();
     return runtime.totalMemory() - runtime.freeMemory();
