--- a/burdockbay-app/src/main/java/org/burdockbay/app/Command.java
+++ b/burdockbay-app/src/main/java/org/burdockbay/app/Command.java
@@ -2,16 +2,16 @@
 
 import org.burdockbay.core.error.BurdockbayException;
 
-/** One command of the binary; args4j fills in its options. */
+/** A command of the program. Its options are annotated fields, which args4j sets before the run. */
 public interface Command {
 
-  /** Returns one sentence for the overview. */
+  /** Returns a one-line description for {@code burdockbay help}. */
   String summary();
 
   /**
    * Runs the command.
    *
-   * @throws BurdockbayException if it fails; the message is printed
+   * @throws BurdockbayException if the command fails; the message is printed on standard error
    */
   ExitCode run() throws BurdockbayException;
 }
--- a/burdockbay-app/src/main/java/org/burdockbay/app/Main.java
+++ b/burdockbay-app/src/main/java/org/burdockbay/app/Main.java
@@ -31,7 +31,9 @@
 import org.kohsuke.args4j.CmdLineParser;
 import org.kohsuke.args4j.ParserProperties;
 
-/** Entry point: chooses the command and turns failures into one line and an exit code. */
+/**
+ * Entry point: selects the command, reports its failure on standard error and sets the exit code.
+ */
 public final class Main {
 
   private static final Map<String, Supplier<Command>> COMMANDS = commands();
@@ -39,7 +41,7 @@
 
   private Main() {}
 
-  /** Runs the command that the first argument names. */
+  /** Runs the command named by the first argument. */
   public static void main(String[] arguments) {
     System.exit(run(arguments, System.out, System.err).code());
   }
@@ -57,14 +59,14 @@
     Command command = supplier.get();
     CmdLineParser parser =
         new CmdLineParser(command, ParserProperties.defaults().withUsageWidth(USAGE_WIDTH));
-    String[] rest = Arrays.copyOfRange(arguments, 1, arguments.length);
-    if (Arrays.asList(rest).contains("--help")) {
+    String[] options = Arrays.copyOfRange(arguments, 1, arguments.length);
+    if (Arrays.asList(options).contains("--help")) {
       out.println("burdockbay " + arguments[0] + ": " + command.summary());
       parser.printUsage(out);
       return ExitCode.OK;
     }
     try {
-      parser.parseArgument(rest);
+      parser.parseArgument(options);
     } catch (CmdLineException e) {
       err.println("burdockbay " + arguments[0] + ": " + e.getMessage());
       parser.printUsage(err);
@@ -90,7 +92,8 @@
         default -> ExitCode.FAILED;
       };
     } catch (RuntimeException e) {
-      // Uncaught, it would end this thread only, and those of a half-started host would live on.
+      // If the exception propagated, only this thread would end; the threads of a partly started
+      // host would keep the process alive.
       e.printStackTrace(err);
       return ExitCode.FAILED;
     }
--- a/burdockbay-app/src/main/java/org/burdockbay/app/command/ApplyCommand.java
+++ b/burdockbay-app/src/main/java/org/burdockbay/app/command/ApplyCommand.java
@@ -13,7 +13,7 @@
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
 
-/** Applies a configuration document. */
+/** Applies a configuration document on the condition that its version is unchanged. */
 public final class ApplyCommand extends HostClientCommand {
 
   private static final long POLL_INTERVAL_MILLIS = 100;
@@ -62,25 +62,25 @@
 
   private static JsonNode sendWithRetries(HostClient client, Map<String, Object> change)
       throws BurdockbayException {
-    BurdockbayException last = null;
-    for (int i = 0; i < MAX_ATTEMPTS; i++) {
+    BurdockbayException lastFailure = null;
+    for (int attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
       try {
         return client.post("/v1/operator/configuration", change, Map.of());
       } catch (BurdockbayException e) {
-        // The change id makes it safe to send again after a lost or missing answer.
+        // The change id makes the request idempotent, so it is repeated when no answer arrived.
         if (e.kind() != ErrorKind.UNAVAILABLE) {
           throw e;
         }
-        last = e;
+        lastFailure = e;
       }
     }
-    throw last;
+    throw lastFailure;
   }
 
   private ExitCode awaitInForce(HostClient client, long version) throws BurdockbayException {
-    long until = System.currentTimeMillis() + timeoutMillis;
+    long deadline = System.currentTimeMillis() + timeoutMillis;
     List<String> behind = List.of();
-    while (System.currentTimeMillis() < until) {
+    while (System.currentTimeMillis() < deadline) {
       behind = hostsBehind(client, version);
       if (behind.isEmpty()) {
         System.out.println("in force on every live host version=" + version);
--- a/burdockbay-app/src/main/java/org/burdockbay/app/command/CancelCommand.java
+++ b/burdockbay-app/src/main/java/org/burdockbay/app/command/CancelCommand.java
@@ -5,7 +5,7 @@
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
 
-/** Cancels a submission. */
+/** Cancels a submission and prints its outcome. */
 public final class CancelCommand extends HostClientCommand {
 
   @Argument(required = true, metaVar = "ID", usage = "submission id")
--- a/burdockbay-app/src/main/java/org/burdockbay/app/command/CheckCommand.java
+++ b/burdockbay-app/src/main/java/org/burdockbay/app/command/CheckCommand.java
@@ -8,7 +8,7 @@
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
 
-/** Validates a document without applying it. */
+/** Validates a configuration document, or the settings file of a host, without applying it. */
 public final class CheckCommand implements Command {
 
   @Argument(required = true, metaVar = "FILE", usage = "configuration document")
--- a/burdockbay-app/src/main/java/org/burdockbay/app/command/DiffCommand.java
+++ b/burdockbay-app/src/main/java/org/burdockbay/app/command/DiffCommand.java
@@ -9,7 +9,7 @@
 import org.burdockbay.core.error.BurdockbayException;
 import org.kohsuke.args4j.Argument;
 
-/** Compares a document with the one in force, by section and key. */
+/** Compares a configuration document with the one in force, section by section and key by key. */
 public final class DiffCommand extends HostClientCommand {
 
   @Argument(required = true, metaVar = "FILE", usage = "configuration document")
@@ -41,14 +41,15 @@
     return same ? ExitCode.OK : ExitCode.FAILED;
   }
 
+  /** Returns one line for each section header and each setting, in the order of the document. */
   private static Set<String> settingLines(String name, String text) throws BurdockbayException {
-    Set<String> settings = new LinkedHashSet<>();
+    Set<String> lines = new LinkedHashSet<>();
     for (IniDocument.Section section : new IniReader(name).read(text).sections()) {
-      settings.add("[" + section.header() + "]");
+      lines.add("[" + section.header() + "]");
       for (IniDocument.Entry entry : section.entries()) {
-        settings.add("[" + section.header() + "] " + entry.key() + " = " + entry.value());
+        lines.add("[" + section.header() + "] " + entry.key() + " = " + entry.value());
       }
     }
-    return settings;
+    return lines;
   }
 }
--- a/burdockbay-app/src/main/java/org/burdockbay/app/command/DocumentFile.java
+++ b/burdockbay-app/src/main/java/org/burdockbay/app/command/DocumentFile.java
@@ -12,14 +12,22 @@
 
   private DocumentFile() {}
 
-  /** Returns the text of a valid document. */
+  /**
+   * Returns the text of a configuration document after validating it.
+   *
+   * @throws BurdockbayException if the file can't be read or the document is not valid
+   */
   static String readValidated(Path file) throws BurdockbayException {
     String text = read(file);
     DispatchConfiguration.parse(file.toString(), 1, text);
     return text;
   }
 
-  /** Returns the text of a file. */
+  /**
+   * Returns the text of a file.
+   *
+   * @throws BurdockbayException if the file can't be read
+   */
   static String read(Path file) throws BurdockbayException {
     try {
       return Files.readString(file);
--- a/burdockbay-app/src/main/java/org/burdockbay/app/command/DrainCommand.java
+++ b/burdockbay-app/src/main/java/org/burdockbay/app/command/DrainCommand.java
@@ -4,7 +4,7 @@
 import org.burdockbay.app.ExitCode;
 import org.burdockbay.core.error.BurdockbayException;
 
-/** Begins a planned stop of a host. */
+/** Starts a planned stop of a host; doesn't wait until the host has stopped. */
 public final class DrainCommand extends HostClientCommand {
 
   @Override
--- a/burdockbay-app/src/main/java/org/burdockbay/app/command/FollowCommand.java
+++ b/burdockbay-app/src/main/java/org/burdockbay/app/command/FollowCommand.java
@@ -5,7 +5,7 @@
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
 
-/** Asks for the answer of a submission. */
+/** Waits for the answer of a submission and prints it. */
 public final class FollowCommand extends HostClientCommand {
 
   @Argument(required = true, metaVar = "ID", usage = "submission id")
--- a/burdockbay-app/src/main/java/org/burdockbay/app/command/HistoryCommand.java
+++ b/burdockbay-app/src/main/java/org/burdockbay/app/command/HistoryCommand.java
@@ -4,7 +4,7 @@
 import org.burdockbay.app.ExitCode;
 import org.burdockbay.core.error.BurdockbayException;
 
-/** Lists the versions of the configuration that a host with a disk keeps. */
+/** Lists the configuration versions that a host with a data folder retains. */
 public final class HistoryCommand extends HostClientCommand {
 
   @Override
--- a/burdockbay-app/src/main/java/org/burdockbay/app/command/HostClient.java
+++ b/burdockbay-app/src/main/java/org/burdockbay/app/command/HostClient.java
@@ -13,7 +13,7 @@
 import org.burdockbay.core.error.BurdockbayException;
 import org.burdockbay.core.error.ErrorKind;
 
-/** Calls the HTTP API of a host and turns problem details into exceptions. */
+/** Client of the HTTP API of a host; converts problem details into exceptions. */
 final class HostClient {
 
   private static final MediaType JSON = MediaType.get("application/json");
@@ -45,7 +45,8 @@
       headers.forEach(request::header);
       return execute(request.build());
     } catch (IOException e) {
-      throw new BurdockbayException(ErrorKind.INTERNAL, "not JSON: " + e.getMessage(), e);
+      throw new BurdockbayException(
+          ErrorKind.INTERNAL, "request body can't be written as JSON: " + e.getMessage(), e);
     }
   }
 
@@ -53,7 +54,8 @@
     try {
       return mapper.writerWithDefaultPrettyPrinter().writeValueAsString(node);
     } catch (IOException e) {
-      throw new BurdockbayException(ErrorKind.INTERNAL, "not JSON: " + e.getMessage(), e);
+      throw new BurdockbayException(
+          ErrorKind.INTERNAL, "response can't be written as JSON: " + e.getMessage(), e);
     }
   }
 
--- a/burdockbay-app/src/main/java/org/burdockbay/app/command/InitCommand.java
+++ b/burdockbay-app/src/main/java/org/burdockbay/app/command/InitCommand.java
@@ -17,7 +17,12 @@
 import org.burdockbay.server.storage.LogStore;
 import org.kohsuke.args4j.Option;
 
-/** Creates the data folder of a first voter of a new cluster. */
+/**
+ * Creates the data folder of an initial voter of a new cluster.
+ *
+ * <p>The folder holds the first state of the control group's log, with all voters of the settings.
+ * A voter that lost its disk must not be initialised again: it rejoins under a new incarnation.
+ */
 public final class InitCommand implements Command {
 
   @Option(name = "--settings", required = true, metaVar = "FILE", usage = "settings of the host")
@@ -30,29 +35,30 @@
 
   @Override
   public ExitCode run() throws BurdockbayException {
-    HostSettings host = HostSettings.read(settingsFile);
+    HostSettings hostSettings = HostSettings.read(settingsFile);
     Path path =
-        host.dataFolder()
+        hostSettings
+            .dataFolder()
             .orElseThrow(
                 () ->
                     new BurdockbayException(
                         ErrorKind.BAD_REQUEST, settingsFile + ": [host] data-folder is not set"));
     List<VoterId> voters =
-        host.voterIds().stream()
+        hostSettings.voterIds().stream()
             .map(id -> new VoterId(id, DataFolder.BOOTSTRAP_INCARNATION))
             .toList();
-    RecoveredLog first = RecoveredLog.bootstrap(voters);
-    try (DataFolder folder = DataFolder.bootstrap(path, host.cluster(), host.id());
+    RecoveredLog initialLog = RecoveredLog.bootstrap(voters);
+    try (DataFolder folder = DataFolder.bootstrap(path, hostSettings.cluster(), hostSettings.id());
         LogStore store =
             new LogStore(folder.groupFolder(GroupId.CONTROL.number()), GroupId.CONTROL)) {
       store.write(
           List.of(
               new RaftEffect.Persist(
                   1,
-                  Optional.of(first.hardState()),
+                  Optional.of(initialLog.hardState()),
                   Optional.empty(),
                   OptionalLong.empty(),
-                  first.entries())));
+                  initialLog.entries())));
     }
     System.out.println("initialised " + path + " with voters " + voters);
     return ExitCode.OK;
--- a/burdockbay-app/src/main/java/org/burdockbay/app/command/LoadCommand.java
+++ b/burdockbay-app/src/main/java/org/burdockbay/app/command/LoadCommand.java
@@ -13,7 +13,7 @@
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
 
-/** Drives a load and prints its figures. */
+/** Generates load on a cluster and prints the measured response times. */
 public final class LoadCommand implements Command {
 
   @Argument(required = true, metaVar = "MIX", usage = "file with the kinds of job")
--- a/burdockbay-app/src/main/java/org/burdockbay/app/command/MembersCommand.java
+++ b/burdockbay-app/src/main/java/org/burdockbay/app/command/MembersCommand.java
@@ -4,7 +4,7 @@
 import org.burdockbay.app.ExitCode;
 import org.burdockbay.core.error.BurdockbayException;
 
-/** Lists the hosts that a host hears of. */
+/** Lists a host and the live hosts in its membership view. */
 public final class MembersCommand extends HostClientCommand {
 
   private static final String ROW_FORMAT = "%-16s %-12s %-8s %-10s %-8s %-6s%n";
--- a/burdockbay-app/src/main/java/org/burdockbay/app/command/ReferenceCommand.java
+++ b/burdockbay-app/src/main/java/org/burdockbay/app/command/ReferenceCommand.java
@@ -8,7 +8,7 @@
 import org.burdockbay.core.configuration.SettingDefinition;
 import org.burdockbay.server.settings.HostSettingsSchema;
 
-/** Prints the reference of all settings, docs/CONFIGURATION.md. */
+/** Prints the reference of all settings, which is the content of docs/CONFIGURATION.md. */
 public final class ReferenceCommand implements Command {
 
   @Override
--- a/burdockbay-app/src/main/java/org/burdockbay/app/command/RunnerCommand.java
+++ b/burdockbay-app/src/main/java/org/burdockbay/app/command/RunnerCommand.java
@@ -11,7 +11,7 @@
 import org.burdockbay.bench.runner.StandInRunner;
 import org.kohsuke.args4j.Option;
 
-/** Runs a stand-in upstream. */
+/** Runs a stand-in upstream with optional faults until the process is stopped. */
 public final class RunnerCommand implements Command {
 
   @Option(name = "--name", required = true, metaVar = "NAME", usage = "name of the runner")
--- a/burdockbay-app/src/main/java/org/burdockbay/app/command/ServeCommand.java
+++ b/burdockbay-app/src/main/java/org/burdockbay/app/command/ServeCommand.java
@@ -11,7 +11,7 @@
 import org.burdockbay.server.wiring.DaggerHostComponent;
 import org.kohsuke.args4j.Option;
 
-/** Runs a host. */
+/** Runs a host until SIGTERM or the drain command stops it. */
 public final class ServeCommand implements Command {
 
   @Option(name = "--settings", required = true, metaVar = "FILE", usage = "settings of the host")
@@ -26,9 +26,9 @@
   public ExitCode run() throws BurdockbayException {
     LazyResources.preload();
     Host host = DaggerHostComponent.factory().create(HostSettings.read(settingsFile)).host();
-    // SIGTERM begins the planned stop; the hook holds the process until it is done. It must not
-    // wait for the main thread: where the stop fails, that thread exits, and exiting waits for
-    // all hooks.
+    // SIGTERM runs this hook, which starts the planned stop and keeps the process alive until the
+    // stop has finished. It waits for a latch rather than for the main thread to end: after a
+    // failed stop that thread calls System.exit, which itself waits for all hooks.
     CountDownLatch stopped = new CountDownLatch(1);
     Runtime.getRuntime()
         .addShutdownHook(
@@ -43,7 +43,7 @@
                 }));
     try {
       host.serve();
-      // Ends the process before the hook can: the runtime's own end would report the signal.
+      // Halts before the hook returns; otherwise the exit code would be that of the signal.
       Runtime.getRuntime().halt(ExitCode.OK.code());
     } finally {
       stopped.countDown();
--- a/burdockbay-app/src/main/java/org/burdockbay/app/command/ShowCommand.java
+++ b/burdockbay-app/src/main/java/org/burdockbay/app/command/ShowCommand.java
@@ -5,7 +5,7 @@
 import org.burdockbay.core.error.BurdockbayException;
 import org.kohsuke.args4j.Option;
 
-/** Prints the configuration in force. */
+/** Prints the configuration in force on a host; its version goes to standard error. */
 public final class ShowCommand extends HostClientCommand {
 
   @Option(name = "--json", usage = "print JSON with the version")
--- a/burdockbay-app/src/main/java/org/burdockbay/app/command/SlopesCommand.java
+++ b/burdockbay-app/src/main/java/org/burdockbay/app/command/SlopesCommand.java
@@ -5,7 +5,7 @@
 import org.burdockbay.bench.slope.CoreBenchmark;
 import org.burdockbay.core.error.BurdockbayException;
 
-/** Measures the slopes of docs/CAPACITY.md. */
+/** Runs the {@link CoreBenchmark}, the source of the cost figures in docs/CAPACITY.md. */
 public final class SlopesCommand implements Command {
 
   @Override
--- a/burdockbay-app/src/main/java/org/burdockbay/app/command/StatusCommand.java
+++ b/burdockbay-app/src/main/java/org/burdockbay/app/command/StatusCommand.java
@@ -5,7 +5,7 @@
 import org.burdockbay.core.error.BurdockbayException;
 import org.kohsuke.args4j.Option;
 
-/** Prints the state of a host. */
+/** Prints the status report of a host and its response times. */
 public final class StatusCommand extends HostClientCommand {
 
   @Option(name = "--json", usage = "print JSON")
--- a/burdockbay-app/src/main/java/org/burdockbay/app/command/SubmitCommand.java
+++ b/burdockbay-app/src/main/java/org/burdockbay/app/command/SubmitCommand.java
@@ -14,7 +14,7 @@
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
 
-/** Submits a job as a caller. */
+/** Submits a job as a caller and prints the answer. */
 public final class SubmitCommand extends HostClientCommand {
 
   @Option(name = "--job", required = true, metaVar = "NAME", usage = "kind of job")
@@ -44,7 +44,8 @@
       try {
         payloads.add(client.mapper().readTree(task));
       } catch (IOException e) {
-        throw new BurdockbayException(ErrorKind.BAD_REQUEST, "task is not JSON: " + task, e);
+        throw new BurdockbayException(
+            ErrorKind.BAD_REQUEST, "task payload is not valid JSON: " + task, e);
       }
     }
     Map<String, String> headers = new HashMap<>();
--- a/burdockbay-app/src/main/java/org/burdockbay/app/command/WatchCommand.java
+++ b/burdockbay-app/src/main/java/org/burdockbay/app/command/WatchCommand.java
@@ -4,7 +4,7 @@
 import org.burdockbay.core.error.BurdockbayException;
 import org.kohsuke.args4j.Option;
 
-/** Prints a line for each version of the configuration that comes into force on a host. */
+/** Polls a host and prints each configuration version that it finds newly in force. */
 public final class WatchCommand extends HostClientCommand {
 
   private static final long POLL_INTERVAL_MILLIS = 500;
@@ -20,14 +20,14 @@
   @Override
   public ExitCode run() throws BurdockbayException {
     HostClient client = client();
-    long last = -1;
-    int seen = 0;
-    while (maxVersions == 0 || seen < maxVersions) {
+    long lastVersion = -1;
+    int printed = 0;
+    while (maxVersions == 0 || printed < maxVersions) {
       long version = client.get("/v1/operator/configuration").path("version").asLong();
-      if (version != last) {
+      if (version != lastVersion) {
         System.out.println("version=" + version);
-        last = version;
-        seen++;
+        lastVersion = version;
+        printed++;
       } else if (!sleepUntilNextPoll()) {
         break;
       }
@@ -35,6 +35,7 @@
     return ExitCode.OK;
   }
 
+  /** Returns false if the thread was interrupted. */
   private static boolean sleepUntilNextPoll() {
     try {
       Thread.sleep(POLL_INTERVAL_MILLIS);
--- a/burdockbay-app/src/main/java/org/burdockbay/app/command/package-info.java
+++ b/burdockbay-app/src/main/java/org/burdockbay/app/command/package-info.java
@@ -1,2 +1,2 @@
-/** The commands of the binary. */
+/** The commands of the command-line program. */
 package org.burdockbay.app.command;
--- a/burdockbay-app/src/main/java/org/burdockbay/app/package-info.java
+++ b/burdockbay-app/src/main/java/org/burdockbay/app/package-info.java
@@ -1,2 +1,2 @@
-/** The single binary: its commands and their exit codes. */
+/** The command-line program: entry point, the interface of its commands, and exit codes. */
 package org.burdockbay.app;
--- a/burdockbay-bench/src/main/java/org/burdockbay/bench/load/Arrival.java
+++ b/burdockbay-bench/src/main/java/org/burdockbay/bench/load/Arrival.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * One job of the load.
+ * A job of the generated load.
  *
- * @param offsetMillis when it arrives, from the start of the run
- * @param job kind of job
- * @param taskRunMillis run time of each task
+ * @param offsetMillis arrival time, in milliseconds since the start of the run
+ * @param job name of the job's kind
+ * @param taskRunMillis run time of each task, in milliseconds
  */
 public record Arrival(double offsetMillis, String job, List<Integer> taskRunMillis) {
 
--- a/burdockbay-bench/src/main/java/org/burdockbay/bench/load/LoadDriver.java
+++ b/burdockbay-bench/src/main/java/org/burdockbay/bench/load/LoadDriver.java
@@ -23,8 +23,10 @@
 import org.HdrHistogram.ConcurrentHistogram;
 
 /**
- * Sends a plan of arrivals to entry hosts, open loop: each job leaves at its planned time whatever
- * the answers do, and its response time counts from the planned time (no coordinated omission).
+ * Open-loop load driver: sends each job to an entry host at its planned time, regardless of
+ * outstanding answers.
+ *
+ * <p>Response times are measured from the planned time, which avoids coordinated omission.
  */
 public final class LoadDriver {
 
@@ -36,17 +38,23 @@
   private final List<String> hosts;
   private final String token;
   private final String runId;
-  private final ObjectMapper json = new ObjectMapper();
+  private final ObjectMapper mapper = new ObjectMapper();
   private final OkHttpClient client;
   private final ConcurrentHistogram responseTimes = new ConcurrentHistogram(MAX_RESPONSE_MILLIS, 3);
   private final Map<String, AtomicInteger> outcomes = new ConcurrentHashMap<>();
   private final AtomicInteger wrongAnswers = new AtomicInteger();
 
-  /** Creates a driver; {@code run} makes the submission ids of this run unlike any other's. */
-  public LoadDriver(List<String> hosts, String token, String run) {
+  /**
+   * Creates a driver.
+   *
+   * @param hosts HTTP addresses of the entry hosts, as IP:PORT; jobs are sent to them in turn
+   * @param token credential of the caller
+   * @param runId prefix that keeps the submission ids of different runs distinct
+   */
+  public LoadDriver(List<String> hosts, String token, String runId) {
     this.hosts = List.copyOf(hosts);
     this.token = token;
-    this.runId = run;
+    this.runId = runId;
     Dispatcher dispatcher = new Dispatcher(Executors.newVirtualThreadPerTaskExecutor());
     dispatcher.setMaxRequests(MAX_CONCURRENT_CALLS);
     dispatcher.setMaxRequestsPerHost(MAX_CONCURRENT_CALLS);
@@ -59,59 +67,65 @@
             .build();
   }
 
-  /** Sends the plan and waits for every answer. */
+  /** Sends all jobs of the plan and waits for the answers, up to the timeout of a call. */
   public void drive(List<Arrival> plan) throws InterruptedException {
-    CountDownLatch open = new CountDownLatch(plan.size());
-    long start = System.nanoTime();
+    CountDownLatch pending = new CountDownLatch(plan.size());
+    long startNanos = System.nanoTime();
     for (int i = 0; i < plan.size(); i++) {
       Arrival arrival = plan.get(i);
-      long due = start + Math.round(arrival.offsetMillis() * 1e6);
-      while (System.nanoTime() < due) {
-        LockSupport.parkNanos(due - System.nanoTime());
+      long dueNanos = startNanos + Math.round(arrival.offsetMillis() * 1e6);
+      while (System.nanoTime() < dueNanos) {
+        LockSupport.parkNanos(dueNanos - System.nanoTime());
       }
-      send(i, arrival, due, open);
+      send(i, arrival, dueNanos, pending);
     }
-    open.await(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+    pending.await(TIMEOUT_SECONDS, TimeUnit.SECONDS);
   }
 
-  /** Returns the response times of completed jobs, in milliseconds. */
+  /** Returns the response times of successful jobs, in milliseconds. */
   public ConcurrentHistogram responseTimes() {
     return responseTimes;
   }
 
-  /** Returns how many jobs ended in which way. */
+  /** Returns the number of jobs by outcome. */
   public Map<String, AtomicInteger> outcomes() {
     return outcomes;
   }
 
-  /** Returns the answers that were not those to their own request. */
+  /** Returns the number of successful answers that don't match their request. */
   public int wrongAnswers() {
     return wrongAnswers.get();
   }
 
-  private void send(int number, Arrival arrival, long due, CountDownLatch open) {
+  private void send(int jobNumber, Arrival arrival, long dueNanos, CountDownLatch pending) {
     StringBuilder tasks = new StringBuilder();
     for (int i = 0; i < arrival.taskRunMillis().size(); i++) {
       tasks.append(i == 0 ? "" : ",");
-      tasks.append("{\"mark\":\"").append(runId).append('-').append(number).append('-').append(i);
+      tasks
+          .append("{\"mark\":\"")
+          .append(runId)
+          .append('-')
+          .append(jobNumber)
+          .append('-')
+          .append(i);
       tasks.append("\",\"runMillis\":").append(arrival.taskRunMillis().get(i)).append('}');
     }
     String body = "{\"job\":\"" + arrival.job() + "\",\"tasks\":[" + tasks + "]}";
     Request request =
         new Request.Builder()
-            .url("http://" + hosts.get(number % hosts.size()) + "/v1/jobs")
+            .url("http://" + hosts.get(jobNumber % hosts.size()) + "/v1/jobs")
             .header("Authorization", "Bearer " + token)
-            .header("Idempotency-Key", runId + "-" + number)
+            .header("Idempotency-Key", runId + "-" + jobNumber)
             .post(RequestBody.create(body, JSON))
             .build();
-    client.newCall(request).enqueue(new ResponseCallback(number, arrival, due, open));
+    client.newCall(request).enqueue(new ResponseCallback(jobNumber, arrival, dueNanos, pending));
   }
 
   private void countOutcome(String outcome) {
     outcomes.computeIfAbsent(outcome, name -> new AtomicInteger()).incrementAndGet();
   }
 
-  /** Checks one answer and notes its time. */
+  /** Records the outcome and response time of one job and verifies its answer. */
   private final class ResponseCallback implements Callback {
 
     private final int jobNumber;
@@ -119,11 +133,11 @@
     private final long dueNanos;
     private final CountDownLatch pending;
 
-    ResponseCallback(int number, Arrival arrival, long due, CountDownLatch open) {
-      this.jobNumber = number;
+    ResponseCallback(int jobNumber, Arrival arrival, long dueNanos, CountDownLatch pending) {
+      this.jobNumber = jobNumber;
       this.arrival = arrival;
-      this.dueNanos = due;
-      this.pending = open;
+      this.dueNanos = dueNanos;
+      this.pending = pending;
     }
 
     @Override
@@ -135,7 +149,7 @@
     @Override
     public void onResponse(Call call, Response response) {
       try (response) {
-        JsonNode answer = json.readTree(response.body().string());
+        JsonNode answer = mapper.readTree(response.body().string());
         if (response.isSuccessful()) {
           responseTimes.recordValue(Math.max(1, (System.nanoTime() - dueNanos) / 1_000_000));
           countOutcome("completed");
@@ -152,12 +166,12 @@
 
     private void verifyAnswer(JsonNode answer) {
       JsonNode answers = answer.path("answers");
-      boolean right = answers.size() == arrival.taskRunMillis().size();
-      for (int i = 0; right && i < answers.size(); i++) {
+      boolean matches = answers.size() == arrival.taskRunMillis().size();
+      for (int i = 0; matches && i < answers.size(); i++) {
         String mark = answers.get(i).path("echo").path("mark").asText();
-        right = mark.equals(runId + "-" + jobNumber + "-" + i);
+        matches = mark.equals(runId + "-" + jobNumber + "-" + i);
       }
-      if (!right) {
+      if (!matches) {
         wrongAnswers.incrementAndGet();
       }
     }
--- a/burdockbay-bench/src/main/java/org/burdockbay/bench/load/LoadMix.java
+++ b/burdockbay-bench/src/main/java/org/burdockbay/bench/load/LoadMix.java
@@ -13,9 +13,9 @@
 import org.burdockbay.core.configuration.support.IniReader;
 
 /**
- * The kinds of job of a load, read from a file.
+ * The kinds of job that make up a load.
  *
- * @param kinds the kinds with their shares
+ * @param kinds the kinds of job, with their shares of the arrivals
  */
 public record LoadMix(List<JobKind> kinds) {
 
@@ -33,14 +33,24 @@
                   key("run-min-ms").wholeNumber(1, 60_000).build("Shortest run time."),
                   key("run-max-ms").wholeNumber(1, 60_000).build("Longest run time."))));
 
-  /** One kind of job; run times are spread evenly on a logarithmic scale. */
+  /**
+   * A kind of job. Run times are drawn from a log-uniform distribution.
+   *
+   * @param job name of the job
+   * @param share weight of this kind among the arrivals, relative to the sum of all shares
+   * @param tasksMin minimum number of tasks
+   * @param tasksMax maximum number of tasks
+   * @param runMinMillis minimum run time of a task
+   * @param runMaxMillis maximum run time of a task
+   */
   public record JobKind(
       String job, double share, int tasksMin, int tasksMax, int runMinMillis, int runMaxMillis) {}
 
   /**
-   * Reads a mix.
+   * Parses a load mix.
    *
-   * @throws ConfigurationException with every problem of the file
+   * @param file name of the file, for error messages
+   * @throws ConfigurationException if the text is not valid; lists all problems
    */
   public static LoadMix parse(String file, String text) throws ConfigurationException {
     List<Problem> problems = new ArrayList<>();
--- a/burdockbay-bench/src/main/java/org/burdockbay/bench/load/LoadReport.java
+++ b/burdockbay-bench/src/main/java/org/burdockbay/bench/load/LoadReport.java
@@ -5,23 +5,23 @@
 import java.util.stream.Collectors;
 import org.HdrHistogram.Histogram;
 
-/** One line of key=value pairs for a run, with its references on the same arrivals. */
+/** Formats the result of a load run and compares it with queueing models of the same arrivals. */
 public final class LoadReport {
 
   private LoadReport() {}
 
   /**
-   * Returns the line.
+   * Returns one line of key=value pairs; times are in milliseconds.
    *
-   * @param roundTripMillis added to each reference, since a central queue is also reached over a
-   *     network
+   * @param roundTripMillis network round trip, added to the response times of the models because
+   *     callers would reach a central queue over a network as well
    */
   public static String formatLine(
       double load, List<Arrival> plan, int slots, LoadDriver driver, double roundTripMillis) {
-    Histogram subject = driver.responseTimes();
+    Histogram measured = driver.responseTimes();
     Histogram ideal = histogram(QueueModel.centralQueue(plan, slots), roundTripMillis);
     Histogram noWait = histogram(QueueModel.withoutQueueing(plan), roundTripMillis);
-    Histogram split = histogram(QueueModel.separateQueues(plan, slots, 3), roundTripMillis);
+    Histogram separate = histogram(QueueModel.separateQueues(plan, slots, 3), roundTripMillis);
     int tasks = plan.stream().mapToInt(arrival -> arrival.taskRunMillis().size()).sum();
     String outcomes =
         driver.outcomes().entrySet().stream()
@@ -38,21 +38,22 @@
         tasks,
         outcomes,
         driver.wrongAnswers(),
-        valueAtPercentile(subject, 50),
-        valueAtPercentile(subject, 99),
+        valueAtPercentile(measured, 50),
+        valueAtPercentile(measured, 99),
         valueAtPercentile(ideal, 50),
         valueAtPercentile(ideal, 99),
-        percentileRatio(subject, ideal, 50),
-        percentileRatio(subject, ideal, 99),
-        percentileRatio(split, ideal, 50),
-        percentileRatio(split, ideal, 99),
-        percentileRatio(subject, noWait, 50),
-        percentileRatio(subject, noWait, 99));
+        percentileRatio(measured, ideal, 50),
+        percentileRatio(measured, ideal, 99),
+        percentileRatio(separate, ideal, 50),
+        percentileRatio(separate, ideal, 99),
+        percentileRatio(measured, noWait, 50),
+        percentileRatio(measured, noWait, 99));
   }
 
-  private static Histogram histogram(List<Double> responses, double extra) {
+  private static Histogram histogram(List<Double> responseMillis, double addedMillis) {
     Histogram histogram = new Histogram(3_600_000, 3);
-    responses.forEach(response -> histogram.recordValue(Math.max(1, Math.round(response + extra))));
+    responseMillis.forEach(
+        millis -> histogram.recordValue(Math.max(1, Math.round(millis + addedMillis))));
     return histogram;
   }
 
@@ -60,8 +61,9 @@
     return histogram.getValueAtPercentile(percentile);
   }
 
-  private static double percentileRatio(Histogram subject, Histogram reference, double percentile) {
-    return (double) valueAtPercentile(subject, percentile)
+  private static double percentileRatio(
+      Histogram measured, Histogram reference, double percentile) {
+    return (double) valueAtPercentile(measured, percentile)
         / Math.max(1, valueAtPercentile(reference, percentile));
   }
 }
--- a/burdockbay-bench/src/main/java/org/burdockbay/bench/load/QueueModel.java
+++ b/burdockbay-bench/src/main/java/org/burdockbay/bench/load/QueueModel.java
@@ -5,8 +5,8 @@
 import java.util.PriorityQueue;
 
 /**
- * Response times that queues without any cost of their own give on the same arrivals: the central
- * single queue over all slots (the ideal), no wait at all, and separate queues.
+ * Computes the response times of queues without overhead for given arrivals: a single central queue
+ * over all slots (the ideal), no queueing at all, and separate queues.
  */
 public final class QueueModel {
 
@@ -17,35 +17,38 @@
     return separateQueues(arrivals, slots, 1);
   }
 
-  /** Returns the response time of each job if every task started at once, in milliseconds. */
+  /** Returns the response time of each job if every task starts on arrival, in milliseconds. */
   public static List<Double> withoutQueueing(List<Arrival> arrivals) {
     return arrivals.stream()
         .map(arrival -> (double) arrival.taskRunMillis().stream().mapToInt(i -> i).max().orElse(0))
         .toList();
   }
 
-  /** Returns the response time of each job with several queues that take jobs in turn. */
+  /**
+   * Returns the response time of each job with several queues, in milliseconds. The slots are
+   * divided evenly, and the jobs are assigned to the queues in turn.
+   */
   public static List<Double> separateQueues(List<Arrival> arrivals, int slots, int queues) {
-    List<PriorityQueue<Double>> free = new ArrayList<>();
+    List<PriorityQueue<Double>> slotsFreeAt = new ArrayList<>();
     for (int i = 0; i < queues; i++) {
-      PriorityQueue<Double> slotsOfQueue = new PriorityQueue<>();
+      PriorityQueue<Double> queueSlots = new PriorityQueue<>();
       for (int s = 0; s < slots / queues; s++) {
-        slotsOfQueue.add(0.0);
+        queueSlots.add(0.0);
       }
-      free.add(slotsOfQueue);
+      slotsFreeAt.add(queueSlots);
     }
-    List<Double> responses = new ArrayList<>(arrivals.size());
-    int next = 0;
+    List<Double> responseMillis = new ArrayList<>(arrivals.size());
+    int nextQueue = 0;
     for (Arrival arrival : arrivals) {
-      PriorityQueue<Double> slotsOfQueue = free.get(next++ % queues);
+      PriorityQueue<Double> queueSlots = slotsFreeAt.get(nextQueue++ % queues);
       double end = arrival.offsetMillis();
-      for (int run : arrival.taskRunMillis()) {
-        double start = Math.max(arrival.offsetMillis(), slotsOfQueue.remove());
-        slotsOfQueue.add(start + run);
-        end = Math.max(end, start + run);
+      for (int runMillis : arrival.taskRunMillis()) {
+        double start = Math.max(arrival.offsetMillis(), queueSlots.remove());
+        queueSlots.add(start + runMillis);
+        end = Math.max(end, start + runMillis);
       }
-      responses.add(end - arrival.offsetMillis());
+      responseMillis.add(end - arrival.offsetMillis());
     }
-    return responses;
+    return responseMillis;
   }
 }
--- a/burdockbay-bench/src/main/java/org/burdockbay/bench/load/package-info.java
+++ b/burdockbay-bench/src/main/java/org/burdockbay/bench/load/package-info.java
@@ -1,2 +1,2 @@
-/** The load driver: open-loop arrivals, the ideal on the same arrivals, and the figures. */
+/** Open-loop load generation, and queueing models of the same arrivals to compare with. */
 package org.burdockbay.bench.load;
--- a/burdockbay-bench/src/main/java/org/burdockbay/bench/package-info.java
+++ b/burdockbay-bench/src/main/java/org/burdockbay/bench/package-info.java
@@ -1,2 +1,2 @@
-/** Stand-ins for the systems that burdockbay serves, and the load and experiment tool. */
+/** Benchmarks and load generation, and stand-ins for the systems around burdockbay. */
 package org.burdockbay.bench;
--- a/burdockbay-bench/src/main/java/org/burdockbay/bench/runner/AttemptRecord.java
+++ b/burdockbay-bench/src/main/java/org/burdockbay/bench/runner/AttemptRecord.java
@@ -4,11 +4,11 @@
 import org.burdockbay.server.runner.RunnerMessages;
 
 /**
- * One attempt that the runner has seen.
+ * An attempt for which the runner has received a start call or a query.
  *
- * @param id its id
- * @param result completes when it ends
- * @param recordedAt when it was seen, in milliseconds
+ * @param id id of the attempt
+ * @param result final status, completed when the attempt ends
+ * @param recordedAt time of the first call, in milliseconds since the Unix epoch
  */
 record AttemptRecord(
     String id, CompletableFuture<RunnerMessages.Attempt> result, long recordedAt) {}
--- a/burdockbay-bench/src/main/java/org/burdockbay/bench/runner/RunnerFaults.java
+++ b/burdockbay-bench/src/main/java/org/burdockbay/bench/runner/RunnerFaults.java
@@ -1,12 +1,13 @@
 package org.burdockbay.bench.runner;
 
 /**
- * Faults of a stand-in runner.
+ * Faults that a stand-in runner injects.
  *
- * @param failAll fails everything it starts, at once
- * @param slowFactor multiplies run times
- * @param lostAnswerShare share of start calls whose connection breaks before the answer
- * @param silentStartShare share of start calls that are run and never answered
+ * @param failAll whether every task fails, with the shortest run time
+ * @param slowFactor factor applied to run times
+ * @param lostAnswerShare share of start calls, 0 to 1, whose task runs and whose result is replaced
+ *     by an empty response with status 500
+ * @param silentStartShare share of start calls, 0 to 1, whose task runs and that get no response
  */
 public record RunnerFaults(
     boolean failAll, double slowFactor, double lostAnswerShare, double silentStartShare) {
--- a/burdockbay-bench/src/main/java/org/burdockbay/bench/runner/RunnerOptions.java
+++ b/burdockbay-bench/src/main/java/org/burdockbay/bench/runner/RunnerOptions.java
@@ -3,18 +3,18 @@
 import java.util.List;
 
 /**
- * What a stand-in runner is and how it misbehaves.
+ * Options of a stand-in runner.
  *
- * @param name its name
- * @param domain its failure domain
- * @param ip the address that it listens on
- * @param port its port; 0 takes a free one
- * @param services services that it announces
- * @param labels labels that it announces
- * @param slots tasks that it runs at once
- * @param hosts HTTP addresses of the entry hosts of its domain
- * @param token bearer credential of runners
- * @param faults the faults that it has from the start
+ * @param name name of the runner
+ * @param domain failure domain of the runner
+ * @param ip IP address to listen on
+ * @param port TCP port to listen on; 0 selects a free one
+ * @param services announced services
+ * @param labels announced labels
+ * @param slots maximum number of tasks that run at a time
+ * @param hosts HTTP addresses of the entry hosts of the domain, as IP:PORT
+ * @param token bearer token for calls to hosts
+ * @param faults initial faults
  */
 public record RunnerOptions(
     String name,
--- a/burdockbay-bench/src/main/java/org/burdockbay/bench/runner/StandInRunner.java
+++ b/burdockbay-bench/src/main/java/org/burdockbay/bench/runner/StandInRunner.java
@@ -29,10 +29,11 @@
 /**
  * A stand-in upstream that speaks the runner protocol.
  *
- * <p>A task's payload may say how it behaves: {@code runMillis} is its run time, {@code fail} makes
- * it fail; the answer echoes the payload with the name of the runner. What every runner has to do
- * is in the methods that handle a call: know attempts by id, obey the highest epoch, refuse when
- * full, and remember results for a while.
+ * <p>The payload of a task may control its execution: {@code runMillis} is the run time, and {@code
+ * fail} makes the task fail. The answer echoes the payload together with the name of the runner.
+ *
+ * <p>The methods that handle calls show the duties of any runner: identify attempts by id, accept
+ * only the highest epoch, reject starts when all slots are busy, and retain results for a while.
  */
 public final class StandInRunner implements AutoCloseable {
 
@@ -43,7 +44,7 @@
   private static final int MAX_HTTP_THREADS = 8;
 
   private final RunnerOptions options;
-  private final ObjectMapper json = new ObjectMapper();
+  private final ObjectMapper mapper = new ObjectMapper();
   private final long incarnation = System.nanoTime() ^ (System.currentTimeMillis() << 20);
   private final OkHttpClient client;
   private final ScheduledExecutorService timer = Executors.newScheduledThreadPool(2);
@@ -57,7 +58,7 @@
   private long highestEpoch;
   private int runningTasks;
 
-  /** Creates a runner that is not started yet. */
+  /** Creates a runner; {@link #start()} makes it listen. */
   public StandInRunner(RunnerOptions options, OkHttpClient client) {
     this.options = options;
     this.client = client;
@@ -75,35 +76,35 @@
             });
   }
 
-  /** Listens and announces itself until it is closed. */
+  /** Starts to listen and to announce this runner, until it is closed. */
   public void start() {
     javalin.start(options.ip(), options.port());
     timer.scheduleAtFixedRate(
         this::announce, 0, ANNOUNCEMENT_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  /** Changes the faults. */
-  public void setFaults(RunnerFaults changed) {
-    faults = changed;
+  /** Replaces the injected faults. */
+  public void setFaults(RunnerFaults newFaults) {
+    faults = newFaults;
   }
 
-  /** Tells all hosts that it takes no new work. */
+  /** Announces to all hosts that this runner accepts no new work. */
   public void leave() {
     leaving = true;
     announce();
   }
 
-  /** Returns the tasks that it has started. */
+  /** Returns the number of tasks started. */
   public int startedTasks() {
     return startedTasks.get();
   }
 
-  /** Returns the start calls that arrived, refused ones included. */
+  /** Returns the number of start calls received, including rejected ones. */
   public int startCalls() {
     return startCalls.get();
   }
 
-  /** Returns all calls that arrived, announcements not included. */
+  /** Returns the number of calls received of all kinds. */
   public long receivedCalls() {
     return receivedCalls.get();
   }
@@ -131,11 +132,11 @@
             new Request.Builder()
                 .url("http://" + host + "/v1/runners/announce")
                 .header("Authorization", "Bearer " + options.token())
-                .post(RequestBody.create(json.writeValueAsBytes(body), JSON))
+                .post(RequestBody.create(mapper.writeValueAsBytes(body), JSON))
                 .build();
         client.newCall(request).enqueue(new DiscardingCallback());
       } catch (IOException e) {
-        throw new IllegalStateException("an announcement is always JSON", e);
+        throw new IllegalStateException("announcement can't be written as JSON", e);
       }
     }
   }
@@ -143,20 +144,20 @@
   private void handleStart(Context context) throws IOException {
     receivedCalls.incrementAndGet();
     startCalls.incrementAndGet();
-    RunnerMessages.Start call = json.readValue(context.body(), RunnerMessages.Start.class);
-    double dice = Math.random();
-    if (dice < faults.silentStartShare()) {
+    RunnerMessages.Start call = mapper.readValue(context.body(), RunnerMessages.Start.class);
+    double draw = Math.random();
+    if (draw < faults.silentStartShare()) {
       acceptStart(call);
       context.future(CompletableFuture::new);
       return;
     }
     CompletableFuture<RunnerMessages.Attempt> result = acceptStart(call);
-    boolean lost = dice < faults.silentStartShare() + faults.lostAnswerShare();
+    boolean isAnswerLost = draw < faults.silentStartShare() + faults.lostAnswerShare();
     context.future(
         () ->
             result.thenAccept(
                 attempt -> {
-                  if (lost) {
+                  if (isAnswerLost) {
                     context.status(500).result("");
                   } else {
                     respond(context, attempt);
@@ -164,7 +165,10 @@
                 }));
   }
 
-  /** Starts the attempt, or tells why not; the same id never starts twice. */
+  /**
+   * Starts the attempt unless it must be rejected. A repeated call with the same id returns the
+   * result of the first one and starts nothing.
+   */
   private synchronized CompletableFuture<RunnerMessages.Attempt> acceptStart(
       RunnerMessages.Start call) {
     if (call.incarnation() != incarnation) {
@@ -235,19 +239,22 @@
   }
 
   private void removeExpiredAttempts() {
-    long before = System.currentTimeMillis() - ATTEMPT_RETENTION_MILLIS;
+    long cutoff = System.currentTimeMillis() - ATTEMPT_RETENTION_MILLIS;
     attempts
         .values()
-        .removeIf(attempt -> attempt.result().isDone() && attempt.recordedAt() < before);
+        .removeIf(attempt -> attempt.result().isDone() && attempt.recordedAt() < cutoff);
   }
 
   private void handleQuery(Context context) throws IOException {
     receivedCalls.incrementAndGet();
-    RunnerMessages.Query call = json.readValue(context.body(), RunnerMessages.Query.class);
+    RunnerMessages.Query call = mapper.readValue(context.body(), RunnerMessages.Query.class);
     respond(context, queryStatus(call));
   }
 
-  /** Tells how an attempt stands; one that never began is refused from now on. */
+  /**
+   * Returns the status of an attempt. An unknown attempt is recorded as rejected, so that a start
+   * call that arrives later can't run it.
+   */
   private synchronized RunnerMessages.Attempt queryStatus(RunnerMessages.Query call) {
     if (call.incarnation() != incarnation) {
       return attemptStatus(call.attempt(), RunnerMessages.REJECTED, "meant for an earlier run");
@@ -267,6 +274,7 @@
     return currentStatus(known);
   }
 
+  /** Returns the status of a recorded attempt; a rejected one is reported as never begun. */
   private static RunnerMessages.Attempt currentStatus(AttemptRecord record) {
     RunnerMessages.Attempt end = record.result().getNow(null);
     if (end == null) {
@@ -279,7 +287,7 @@
 
   private void handleCancel(Context context) throws IOException {
     receivedCalls.incrementAndGet();
-    RunnerMessages.Cancel call = json.readValue(context.body(), RunnerMessages.Cancel.class);
+    RunnerMessages.Cancel call = mapper.readValue(context.body(), RunnerMessages.Cancel.class);
     for (String id : call.attempts()) {
       AttemptRecord known;
       synchronized (this) {
@@ -294,33 +302,33 @@
 
   private void handleFence(Context context) throws IOException {
     receivedCalls.incrementAndGet();
-    RunnerMessages.Fence call = json.readValue(context.body(), RunnerMessages.Fence.class);
+    RunnerMessages.Fence call = mapper.readValue(context.body(), RunnerMessages.Fence.class);
     List<RunnerMessages.Attempt> inventory = new ArrayList<>();
-    long obeyed;
+    long acceptedEpoch;
     synchronized (this) {
       if (call.incarnation() == incarnation) {
         highestEpoch = Math.max(highestEpoch, call.epoch());
         attempts.values().forEach(record -> inventory.add(currentStatus(record)));
       }
-      obeyed = call.incarnation() == incarnation ? highestEpoch : 0;
+      acceptedEpoch = call.incarnation() == incarnation ? highestEpoch : 0;
     }
-    inventory.removeIf(line -> line.status().equals(RunnerMessages.NEVER_BEGAN));
-    respond(context, new RunnerMessages.Inventory(obeyed, inventory));
+    inventory.removeIf(attempt -> attempt.status().equals(RunnerMessages.NEVER_BEGAN));
+    respond(context, new RunnerMessages.Inventory(acceptedEpoch, inventory));
   }
 
   private void respond(Context context, Object body) {
     try {
-      context.contentType("application/json").result(json.writeValueAsBytes(body));
+      context.contentType("application/json").result(mapper.writeValueAsBytes(body));
     } catch (IOException e) {
-      throw new IllegalStateException("an answer is always JSON", e);
+      throw new IllegalStateException("response can't be written as JSON", e);
     }
   }
 
   private JsonNode parsePayload(String text) {
     try {
-      return json.readTree(text);
+      return mapper.readTree(text);
     } catch (IOException e) {
-      return json.createObjectNode();
+      return mapper.createObjectNode();
     }
   }
 
@@ -335,12 +343,12 @@
     return new RunnerMessages.Attempt(id, status, null, reason, 0);
   }
 
-  /** A host that can't be reached misses this announcement and gets the next. */
+  /** Ignores the result of an announcement, since each one is followed by another. */
   private static final class DiscardingCallback implements Callback {
 
     @Override
     public void onFailure(Call call, IOException e) {
-      // The next announcement comes within a second.
+      // The next announcement follows after ANNOUNCEMENT_INTERVAL_MILLIS.
     }
 
     @Override
--- a/burdockbay-bench/src/main/java/org/burdockbay/bench/runner/package-info.java
+++ b/burdockbay-bench/src/main/java/org/burdockbay/bench/runner/package-info.java
@@ -1,2 +1,2 @@
-/** The stand-in upstream: the reference for the runner protocol, with faults on switches. */
+/** Reference implementation of the runner protocol for tests and load, with fault injection. */
 package org.burdockbay.bench.runner;
--- a/burdockbay-bench/src/main/java/org/burdockbay/bench/slope/CoreBenchmark.java
+++ b/burdockbay-bench/src/main/java/org/burdockbay/bench/slope/CoreBenchmark.java
@@ -34,7 +34,10 @@
 import org.burdockbay.wire.ControlCodec;
 import org.burdockbay.wire.PeerCodec;
 
-/** Measures the core alone, in one thread and with no network, and prints one line a figure. */
+/**
+ * Benchmark of the core alone, on one thread and without a network. Prints one line for each
+ * measurement, with the cost of a task, a ledger record or a host.
+ */
 public final class CoreBenchmark {
 
   private static final int SLOTS_PER_RUNNER = 8;
@@ -57,15 +60,15 @@
 
   private final PrintStream out;
 
-  /** Creates the measurement with where it prints. */
+  /** Creates a benchmark that prints its results to the given stream. */
   public CoreBenchmark(PrintStream out) {
     this.out = out;
   }
 
   /**
-   * Measures everything.
+   * Runs all measurements.
    *
-   * @throws BurdockbayException if a part can't be built
+   * @throws BurdockbayException if a measured component can't be created
    */
   public void run() throws BurdockbayException {
     for (int runners : new int[] {10, 40, 160, 320}) {
@@ -80,60 +83,60 @@
   }
 
   private void measureDispatch(int runners) throws StateChartException, ConfigurationException {
-    double best = Double.MAX_VALUE;
+    double bestMicros = Double.MAX_VALUE;
     for (int round = 0; round < ROUNDS; round++) {
-      best = Math.min(best, measureDispatchRound(runners));
+      bestMicros = Math.min(bestMicros, measureDispatchRound(runners));
     }
     print(
         String.format(
             Locale.ROOT,
             "part=dispatch runners=%d micros-per-task=%.2f tasks-per-second-per-core=%.0f",
             runners,
-            best,
-            1e6 / best));
+            bestMicros,
+            1e6 / bestMicros));
   }
 
-  /** Returns the time of one task through the dispatcher, in microseconds. */
+  /** Returns the mean time that the dispatcher spends on a task, in microseconds. */
   private static double measureDispatchRound(int runners)
       throws StateChartException, ConfigurationException {
     Dispatcher dispatcher = new Dispatcher("north");
-    long now = 1_000_000;
+    long nowMillis = 1_000_000;
     dispatcher.handle(
         new DispatchEvent.ConfigurationChanged(
             DispatchConfiguration.parse("slopes", 1, CONFIGURATION)),
-        now);
-    announceRunners(dispatcher, runners, now);
-    now += 1_600;
-    announceRunners(dispatcher, runners, now);
-    dispatcher.handle(new DispatchEvent.EpochGranted(9), now);
+        nowMillis);
+    announceRunners(dispatcher, runners, nowMillis);
+    nowMillis += 1_600;
+    announceRunners(dispatcher, runners, nowMillis);
+    dispatcher.handle(new DispatchEvent.EpochGranted(9), nowMillis);
     for (int i = 0; i < runners; i++) {
       dispatcher.handle(
-          new DispatchEvent.RunnerFenced(new RunnerId("r" + i, 1), 9, List.of()), now);
+          new DispatchEvent.RunnerFenced(new RunnerId("r" + i, 1), 9, List.of()), nowMillis);
     }
-    dispatcher.handle(new DispatchEvent.Tick(), now);
+    dispatcher.handle(new DispatchEvent.Tick(), nowMillis);
     Deque<DispatchEffect.StartAttempt> running = new ArrayDeque<>();
-    int ended = 0;
-    long start = System.nanoTime();
+    int endedAttempts = 0;
+    long startNanos = System.nanoTime();
     for (int job = 0; job < JOBS; job++) {
-      collectStarts(dispatcher.handle(jobSubmission(job), now), running);
-      int most = runners * SLOTS_PER_RUNNER * 9 / 10;
-      while (running.size() > most || (job == JOBS - 1 && !running.isEmpty())) {
+      collectStarts(dispatcher.handle(jobSubmission(job), nowMillis), running);
+      int maxRunning = runners * SLOTS_PER_RUNNER * 9 / 10;
+      while (running.size() > maxRunning || (job == JOBS - 1 && !running.isEmpty())) {
         DispatchEffect.StartAttempt first = running.remove();
         collectStarts(
             dispatcher.handle(
                 new DispatchEvent.AttemptEnded(
                     first.attempt(), first.runner(), new AttemptOutcome.Succeeded("1")),
-                now),
+                nowMillis),
             running);
-        ended++;
+        endedAttempts++;
       }
       if (job % 50 == 0) {
-        now += 25;
-        announceRunners(dispatcher, runners, now);
-        dispatcher.handle(new DispatchEvent.Tick(), now);
+        nowMillis += 25;
+        announceRunners(dispatcher, runners, nowMillis);
+        dispatcher.handle(new DispatchEvent.Tick(), nowMillis);
       }
     }
-    return (System.nanoTime() - start) / 1e3 / ended;
+    return (System.nanoTime() - startNanos) / 1e3 / endedAttempts;
   }
 
   private static DispatchEvent jobSubmission(int job) {
@@ -156,7 +159,7 @@
     }
   }
 
-  private static void announceRunners(Dispatcher dispatcher, int runners, long now) {
+  private static void announceRunners(Dispatcher dispatcher, int runners, long nowMillis) {
     for (int i = 0; i < runners; i++) {
       RunnerAnnouncement announcement =
           new RunnerAnnouncement(
@@ -166,14 +169,14 @@
               Set.of(),
               SLOTS_PER_RUNNER,
               false);
-      dispatcher.handle(new DispatchEvent.RunnerAnnounced(announcement), now);
+      dispatcher.handle(new DispatchEvent.RunnerAnnounced(announcement), nowMillis);
     }
   }
 
   private void measureLedger(int records) {
     ControlState state = new ControlState();
     long heapBefore = usedHeapBytes();
-    long start = System.nanoTime();
+    long startNanos = System.nanoTime();
     applyRequest(state, new LedgerRequest.Register(5));
     JobOutcome outcome = new JobOutcome.Completed(List.of("{\"booked\":true}"));
     for (int i = 0; i < records; i++) {
@@ -181,20 +184,20 @@
       applyRequest(state, new LedgerRequest.Open(5, key, "0123456789abcdef".repeat(4), 2));
       applyRequest(state, new LedgerRequest.Close(5, key, outcome));
     }
-    double micros = (System.nanoTime() - start) / 1e3 / records;
-    long bytes = (usedHeapBytes() - heapBefore) / records;
-    start = System.nanoTime();
-    int size = ControlCodec.toBytes(state.image()).size();
-    double imageMillis = (System.nanoTime() - start) / 1e6;
+    double microsPerRecord = (System.nanoTime() - startNanos) / 1e3 / records;
+    long heapBytesPerRecord = (usedHeapBytes() - heapBefore) / records;
+    startNanos = System.nanoTime();
+    int imageBytes = ControlCodec.toBytes(state.image()).size();
+    double imageMillis = (System.nanoTime() - startNanos) / 1e6;
     print(
         String.format(
             Locale.ROOT,
             "part=ledger records=%d micros-per-open-and-close=%.2f heap-bytes-per-record=%d"
                 + " image-bytes-per-record=%d image-millis=%.1f",
             records,
-            micros,
-            bytes,
-            size / records,
+            microsPerRecord,
+            heapBytesPerRecord,
+            imageBytes / records,
             imageMillis));
   }
 
@@ -214,19 +217,20 @@
             statuses.add(
                 new HostStatus(
                     host, domain, 1, 1, 7, 0, 99, false, "host-1", new DomainLoad(10, 5))));
-    int bytes = PeerCodec.encode(new PeerMessage.Heartbeat(statuses.getLast())).getSerializedSize();
+    int heartbeatBytes =
+        PeerCodec.encode(new PeerMessage.Heartbeat(statuses.getLast())).getSerializedSize();
     int rounds = 4_000;
-    long start = 0;
+    long startNanos = 0;
     for (int round = 0; round < rounds; round++) {
       if (round == rounds / 2) {
-        start = System.nanoTime();
+        startNanos = System.nanoTime();
       }
       for (HostStatus status : statuses) {
         membership.heartbeat(status, round * 250L);
       }
       membership.tick(round * 250L);
     }
-    double microsPerSecond = (System.nanoTime() - start) / 1e3 / (rounds / 2.0) * 4;
+    double microsPerSecond = (System.nanoTime() - startNanos) / 1e3 / (rounds / 2.0) * 4;
     print(
         String.format(
             Locale.ROOT,
@@ -234,8 +238,8 @@
                 + " bytes-sent-per-second=%d",
             hosts,
             microsPerSecond,
-            bytes,
-            (hosts - 1) * 4 * (bytes + 4)));
+            heartbeatBytes,
+            (hosts - 1) * 4 * (heartbeatBytes + 4)));
   }
 
   private static long usedHeapBytes() {
--- a/burdockbay-bench/src/main/java/org/burdockbay/bench/slope/package-info.java
+++ b/burdockbay-bench/src/main/java/org/burdockbay/bench/slope/package-info.java
@@ -1,2 +1,2 @@
-/** Slopes for docs/CAPACITY.md: what one task, record, runner or host costs. */
+/** Cost of one task, ledger record, runner or host in the core, for docs/CAPACITY.md. */
 package org.burdockbay.bench.slope;
