--- a/burdockbay-app/src/test/java/org/burdockbay/app/CrashDuringStartTest.java
+++ b/burdockbay-app/src/test/java/org/burdockbay/app/CrashDuringStartTest.java
@@ -11,13 +11,13 @@
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
 
-/** A process that crashes in native code while it starts, several times in a row. */
+/** A host process that repeatedly crashes in native code during startup. */
 public class CrashDuringStartTest {
 
-  /** Times after the beginning of the process; a start takes about a second. */
+  /** Delays from the start of the process to the crash; startup takes about a second. */
   private static final List<Integer> CRASH_DELAYS_MILLIS = List.of(150, 300, 500, 700, 900, 1_100);
 
-  /** Exit codes after a fatal signal, before the runtime handles signals and since then. */
+  /** Exit codes after SIGILL: before the JVM installs its signal handlers (132) and after (134). */
   private static final Set<Integer> CRASH_EXIT_CODES = Set.of(132, 134);
 
   private static final int TASKS_PER_JOB = 2;
@@ -30,7 +30,7 @@
     cluster = new TestCluster();
   }
 
-  /** Stops everything. */
+  /** Stops the hosts and the runners. */
   @AfterClass(alwaysRun = true)
   public void stopCluster() throws Exception {
     if (cluster != null) {
@@ -39,18 +39,19 @@
   }
 
   /**
-   * Callers of other hosts must lose nothing, and the host must come back with what it promised.
+   * Jobs submitted at another host during the crashes must complete, with no task started twice.
+   * The crashed host must become ready again, with the same voters and configuration version.
    */
   @Test
   public void losesNoSubmissionWhenHostCrashesRepeatedlyDuringStart() throws Exception {
     final String voters = voters();
-    final int before = cluster.startedTasks();
+    final int startedBefore = cluster.startedTasks();
     List<CompletableFuture<TestCluster.Answer>> answers = new ArrayList<>();
     cluster.kill("c");
-    for (int moment : CRASH_DELAYS_MILLIS) {
-      answers.add(cluster.submit("a", "booking", "crash-" + moment, RUN_MILLIS));
+    for (int delayMillis : CRASH_DELAYS_MILLIS) {
+      answers.add(cluster.submit("a", "booking", "crash-" + delayMillis, RUN_MILLIS));
       cluster.start("c");
-      Thread.sleep(moment);
+      Thread.sleep(delayMillis);
       cluster.sendSignal("c", "ILL");
       int code = cluster.awaitExit("c");
       assertTrue(CRASH_EXIT_CODES.contains(code), "exit code " + code);
@@ -58,13 +59,13 @@
     cluster.start("c");
     cluster.await("c is ready", () -> cluster.get("c", "/ready", "").code() == 200);
     for (CompletableFuture<TestCluster.Answer> answer : answers) {
-      TestCluster.Answer got = answer.join();
-      assertEquals(got.code(), 200, got.body().toString());
-      assertEquals(got.body().path("answers").size(), TASKS_PER_JOB);
+      TestCluster.Answer received = answer.join();
+      assertEquals(received.code(), 200, received.body().toString());
+      assertEquals(received.body().path("answers").size(), TASKS_PER_JOB);
     }
     assertEquals(
         cluster.startedTasks(),
-        before + CRASH_DELAYS_MILLIS.size() * TASKS_PER_JOB,
+        startedBefore + CRASH_DELAYS_MILLIS.size() * TASKS_PER_JOB,
         "a task ran twice");
     assertEquals(voters(), voters);
     assertEquals(cluster.statusReport("c").path("self").path("configurationVersion").asLong(), 1);
--- a/burdockbay-app/src/test/java/org/burdockbay/app/MainTest.java
+++ b/burdockbay-app/src/test/java/org/burdockbay/app/MainTest.java
@@ -8,10 +8,13 @@
 import java.nio.charset.StandardCharsets;
 import org.testng.annotations.Test;
 
-/** Exit codes of the binary. */
+/** Tests for {@link Main}: exit codes. */
 public class MainTest {
 
-  /** A command that throws must not leave a process that only its other threads keep alive. */
+  /**
+   * A command that throws an unchecked exception must lead to an exit code; otherwise its other
+   * threads could keep the process alive.
+   */
   @Test
   public void returnsFailedWhenCommandThrows() {
     ByteArrayOutputStream lines = new ByteArrayOutputStream();
--- a/burdockbay-app/src/test/java/org/burdockbay/app/ProcessFailureTest.java
+++ b/burdockbay-app/src/test/java/org/burdockbay/app/ProcessFailureTest.java
@@ -10,7 +10,7 @@
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
 
-/** Failures of whole processes of the real program. */
+/** Failures of host processes, tested with the real program. */
 public class ProcessFailureTest {
 
   private static final int JOBS = 6;
@@ -23,7 +23,7 @@
     cluster = new TestCluster();
   }
 
-  /** Stops everything. */
+  /** Stops the hosts and the runners. */
   @AfterClass(alwaysRun = true)
   public void stopCluster() throws Exception {
     if (cluster != null) {
@@ -31,70 +31,74 @@
     }
   }
 
-  /** Brings every host back, also after a test that failed half way. */
+  /** Resumes or restarts every host, also after a failed test. */
   @AfterMethod(alwaysRun = true)
   public void restoreAllHosts() throws Exception {
     cluster.restoreAll();
   }
 
   /**
-   * The host that dispatches a domain loses power while bookings run. The callers wait at the other
-   * host of the domain; each must get its whole answer, and no booking may be made twice.
+   * The dispatcher of a domain is killed, as by a power loss, while at-most-once jobs run. Callers
+   * connected to the other host of the domain must receive complete answers, and no task may start
+   * twice.
    */
   @Test
   public void finishesBookingsWhenTheDispatcherIsKilled() throws Exception {
     String dispatcher = awaitDispatcher();
-    final int before = cluster.startedTasks();
+    final int startedBefore = cluster.startedTasks();
     List<CompletableFuture<TestCluster.Answer>> answers =
         submitAll(otherNorthHost(dispatcher), "kill", 1_500);
-    cluster.await("tasks run", () -> cluster.startedTasks() >= before + JOBS * TASKS_PER_JOB);
+    cluster.await(
+        "tasks run", () -> cluster.startedTasks() >= startedBefore + JOBS * TASKS_PER_JOB);
     cluster.kill(dispatcher);
     assertAllAnswered(answers);
-    assertEquals(cluster.startedTasks(), before + JOBS * TASKS_PER_JOB);
+    assertEquals(cluster.startedTasks(), startedBefore + JOBS * TASKS_PER_JOB);
     cluster.start(dispatcher);
     awaitReady(dispatcher);
   }
 
   /**
-   * The dispatching host freezes for longer than its peers wait, another one takes over, and the
-   * first comes back and goes on where it was. Nothing may be booked twice by the two.
+   * The dispatcher's process is paused until another host has taken over and answered, then resumes
+   * with its old state. Neither dispatcher may start a task that the other has started.
    */
   @Test
   public void finishesBookingsWhenTheDispatcherIsPausedAndResumed() throws Exception {
     String dispatcher = awaitDispatcher();
-    final int before = cluster.startedTasks();
+    final int startedBefore = cluster.startedTasks();
     List<CompletableFuture<TestCluster.Answer>> answers =
         submitAll(otherNorthHost(dispatcher), "freeze", 1_500);
-    cluster.await("tasks run", () -> cluster.startedTasks() >= before + JOBS * TASKS_PER_JOB);
+    cluster.await(
+        "tasks run", () -> cluster.startedTasks() >= startedBefore + JOBS * TASKS_PER_JOB);
     cluster.sendSignal(dispatcher, "STOP");
     assertAllAnswered(answers);
     cluster.sendSignal(dispatcher, "CONT");
     assertAllAnswered(submitAll(otherNorthHost(dispatcher), "freeze", 1_500));
-    assertEquals(cluster.startedTasks(), before + JOBS * TASKS_PER_JOB);
+    assertEquals(cluster.startedTasks(), startedBefore + JOBS * TASKS_PER_JOB);
     awaitReady(dispatcher);
   }
 
   /**
-   * A host is stopped as planned while callers wait at it for running bookings. It must answer them
-   * all before it exits with 0.
+   * A host receives SIGTERM while callers wait for running jobs. It must answer all of them before
+   * it exits with code 0.
    */
   @Test
   public void answersAllCallersBeforePlannedStop() throws Exception {
     String dispatcher = awaitDispatcher();
-    final int before = cluster.startedTasks();
+    final int startedBefore = cluster.startedTasks();
     List<CompletableFuture<TestCluster.Answer>> answers = submitAll(dispatcher, "stop", 1_500);
-    cluster.await("tasks run", () -> cluster.startedTasks() >= before + JOBS * TASKS_PER_JOB);
+    cluster.await(
+        "tasks run", () -> cluster.startedTasks() >= startedBefore + JOBS * TASKS_PER_JOB);
     cluster.sendSignal(dispatcher, "TERM");
     assertAllAnswered(answers);
     assertEquals(cluster.awaitExit(dispatcher), 0);
-    assertEquals(cluster.startedTasks(), before + JOBS * TASKS_PER_JOB);
+    assertEquals(cluster.startedTasks(), startedBefore + JOBS * TASKS_PER_JOB);
     cluster.start(dispatcher);
     awaitReady(dispatcher);
   }
 
   /**
-   * A host's disk is lost and the host comes back with an empty one. It must become a voter again
-   * under a new identity, without an operator, and the configuration must be in force on it.
+   * A voter restarts with an empty data folder after the loss of its disk. It must become a voter
+   * again under a new incarnation, without operator action, and have the configuration in force.
    */
   @Test
   public void readmitsHostWithLostDiskAsNewVoter() throws Exception {
@@ -115,7 +119,7 @@
     cluster.await("domain north has a dispatcher", () -> !cluster.northDispatcher().isEmpty());
     String dispatcher = cluster.northDispatcher();
     cluster.await(
-        "the dispatcher guards",
+        "the dispatcher starts at-most-once jobs",
         () -> cluster.statusReport(dispatcher).path("dispatch").path("guarding").asBoolean());
     return dispatcher;
   }
@@ -125,26 +129,27 @@
   }
 
   private List<CompletableFuture<TestCluster.Answer>> submitAll(
-      String host, String name, int runMillis) {
+      String host, String keyPrefix, int runMillis) {
     List<CompletableFuture<TestCluster.Answer>> answers = new ArrayList<>();
     for (int i = 0; i < JOBS; i++) {
-      answers.add(cluster.submit(host, "booking", name + "-" + i, runMillis));
+      answers.add(cluster.submit(host, "booking", keyPrefix + "-" + i, runMillis));
     }
     return answers;
   }
 
   private static void assertAllAnswered(List<CompletableFuture<TestCluster.Answer>> answers) {
     for (CompletableFuture<TestCluster.Answer> answer : answers) {
-      TestCluster.Answer got = answer.join();
-      assertEquals(got.code(), 200, got.body().toString());
-      assertEquals(got.body().path("answers").size(), TASKS_PER_JOB);
+      TestCluster.Answer received = answer.join();
+      assertEquals(received.code(), 200, received.body().toString());
+      assertEquals(received.body().path("answers").size(), TASKS_PER_JOB);
     }
   }
 
   private void awaitReady(String host) throws Exception {
     cluster.await(host + " is ready", () -> cluster.get(host, "/ready", "").code() == 200);
-    // A host that has just started waits until it has heard of the runners and of every domain.
+    // A newly started host first waits for contact from the runners and from every domain.
     cluster.await(
-        host + " hears the others", () -> cluster.statusReport(host).path("live").size() == 2);
+        host + " lists both other hosts as live",
+        () -> cluster.statusReport(host).path("live").size() == 2);
   }
 }
--- a/burdockbay-app/src/test/java/org/burdockbay/app/TestCluster.java
+++ b/burdockbay-app/src/test/java/org/burdockbay/app/TestCluster.java
@@ -31,7 +31,10 @@
 import org.burdockbay.bench.runner.StandInRunner;
 import org.burdockbay.server.http.Credentials;
 
-/** Hosts as processes of the real program on loopback, and stand-in runners in this one. */
+/**
+ * A cluster on the loopback interface: each host is a process of the real program, and the stand-in
+ * runners are part of the test's process.
+ */
 final class TestCluster implements AutoCloseable {
 
   private static final String OPERATOR_TOKEN = "operator-token-0123";
@@ -79,7 +82,7 @@
       Files.writeString(folder.resolve(host + ".ini"), settingsText(host));
       Process init = startProgram("init", "--settings", folder.resolve(host + ".ini").toString());
       if (init.waitFor() != 0) {
-        throw new IllegalStateException("init of " + host + " failed");
+        throw new IllegalStateException("'init' of host " + host + " failed");
       }
       start(host);
     }
@@ -90,7 +93,9 @@
     for (String host : domains.keySet()) {
       await(host + " is ready", () -> get(host, "/ready", "").code() == 200);
     }
-    await("guarded jobs are taken", () -> startsAtMostOnceJobs("a") || startsAtMostOnceJobs("b"));
+    await(
+        "domain north starts at-most-once jobs",
+        () -> startsAtMostOnceJobs("a") || startsAtMostOnceJobs("b"));
   }
 
   void start(String host) throws IOException {
@@ -99,7 +104,7 @@
     expectedRunning.add(host);
   }
 
-  /** Lets frozen hosts go on and starts those that have ended, so that no test sees another's. */
+  /** Resumes paused hosts and restarts ended ones, so that tests don't affect each other. */
   void restoreAll() throws Exception {
     for (String host : domains.keySet()) {
       if (processes.get(host).isAlive()) {
@@ -114,30 +119,32 @@
     return processes.get(host);
   }
 
-  /** Waits for a host to end by itself; the failure shows what its threads are doing. */
+  /** Waits for a host to exit and returns its exit code; a timeout fails with a thread dump. */
   int awaitExit(String host) throws Exception {
     expectedRunning.remove(host);
     Process process = processes.get(host);
     if (!process.waitFor(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)) {
-      Process stacks =
+      Process jstack =
           new ProcessBuilder(
                   Path.of(System.getProperty("java.home"), "bin", "jstack").toString(),
                   Long.toString(process.pid()))
               .redirectErrorStream(true)
               .start();
-      String text = new String(stacks.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-      throw new AssertionError(host + " doesn't end after SIGTERM:\n" + text);
+      String threadDump =
+          new String(jstack.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+      throw new AssertionError(
+          host + " hasn't exited after the signal; its threads:\n" + threadDump);
     }
     return process.exitValue();
   }
 
-  /** Kills a host as a power loss does. */
+  /** Kills a host with SIGKILL, which simulates a power loss. */
   void kill(String host) throws InterruptedException {
     expectedRunning.remove(host);
     processes.get(host).destroyForcibly().waitFor();
   }
 
-  /** Sends a signal to a host. */
+  /** Sends a signal, named without its SIG prefix, to a host. */
   void sendSignal(String host, String name) throws Exception {
     if (name.equals("TERM") || name.equals("ILL")) {
       expectedRunning.remove(host);
@@ -151,7 +158,7 @@
     deleteRecursively(folder.resolve("data-" + host));
   }
 
-  /** Submits a job of two tasks; the future gets the status code and the body. */
+  /** Submits a job of two tasks and returns the future answer. */
   CompletableFuture<Answer> submit(String host, String job, String key, int runMillis) {
     String task = "{\"key\":\"" + key + "\",\"runMillis\":" + runMillis + "}";
     String body = "{\"job\":\"" + job + "\",\"tasks\":[" + task + "," + task + "]}";
@@ -176,7 +183,7 @@
     return answer.code() == 200 ? answer.body().path("report") : mapper.createObjectNode();
   }
 
-  /** Returns the host that dispatches in domain north, as a live host sees it. */
+  /** Returns the host that reports itself as dispatcher of domain north, or an empty string. */
   String northDispatcher() {
     for (String host : List.of("a", "b")) {
       if (statusReport(host).path("self").path("dispatcherEpoch").asLong() != 0) {
@@ -191,21 +198,21 @@
   }
 
   /**
-   * Waits until something holds. Fails at once, with the end of its log, if a host that should run
-   * has ended: it will never hold then, and waits of a minute each would look like a hang.
+   * Waits until a condition holds. If a host that is expected to run has ended, the condition can't
+   * become true any more: the wait then fails immediately, with the end of that host's log.
    */
-  void await(String what, Callable<Boolean> condition) throws Exception {
-    long until = System.currentTimeMillis() + TIMEOUT_MILLIS;
-    while (!condition.call()) {
+  void await(String description, Callable<Boolean> holds) throws Exception {
+    long deadline = System.currentTimeMillis() + TIMEOUT_MILLIS;
+    while (!holds.call()) {
       for (String host : expectedRunning) {
         if (!processes.get(host).isAlive()) {
           throw new AssertionError(
-              "%s has ended with %d while waiting for: %s%n%s"
-                  .formatted(host, processes.get(host).exitValue(), what, logTail(host)));
+              "%s exited with code %d while waiting for: %s%n%s"
+                  .formatted(host, processes.get(host).exitValue(), description, logTail(host)));
         }
       }
-      if (System.currentTimeMillis() > until) {
-        throw new AssertionError("timed out: " + what + logTails());
+      if (System.currentTimeMillis() > deadline) {
+        throw new AssertionError("timed out waiting for: " + description + logTails());
       }
       Thread.sleep(50);
     }
@@ -340,9 +347,9 @@
   private Answer execute(Request request) {
     try (Response response = client.newCall(request).execute()) {
       String text = response.body().string();
-      boolean object = text.startsWith("{");
+      boolean isObject = text.startsWith("{");
       return new Answer(
-          response.code(), object ? mapper.readTree(text) : mapper.createObjectNode());
+          response.code(), isObject ? mapper.readTree(text) : mapper.createObjectNode());
     } catch (IOException e) {
       return new Answer(0, mapper.createObjectNode());
     }
@@ -362,6 +369,11 @@
     }
   }
 
-  /** A status code, 0 where the connection broke, and the body. */
+  /**
+   * The answer to an HTTP request.
+   *
+   * @param code status code, or 0 if the call failed without a response
+   * @param body the JSON object of the body, empty if the body is not one
+   */
   record Answer(int code, JsonNode body) {}
 }
