--- a/burdockbay-app/src/main/java/org/burdockbay/app/command/CheckCommand.java
+++ b/burdockbay-app/src/main/java/org/burdockbay/app/command/CheckCommand.java
@@ -8,14 +8,14 @@
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
 
-/** Validates a document without applying it. */
+/** Validates a configuration document, or the settings file of a host, without applying it. */
 public final class CheckCommand implements Command {
 
   @Argument(required = true, metaVar = "FILE", usage = "configuration document")
   private Path file;
 
   @Option(name = "--settings", usage = "the file holds settings of a host instead")
-  private boolean settings;
+  private boolean isSettingsFile;
 
   @Override
   public String summary() {
@@ -24,10 +24,10 @@
 
   @Override
   public ExitCode run() throws BurdockbayException {
-    if (settings) {
+    if (isSettingsFile) {
       HostSettings.read(file);
     } else {
-      DocumentFile.readValid(file);
+      DocumentFile.readValidated(file);
     }
     System.out.println(file + ": valid");
     return ExitCode.OK;
--- a/burdockbay-app/src/main/java/org/burdockbay/app/command/DiffCommand.java
+++ b/burdockbay-app/src/main/java/org/burdockbay/app/command/DiffCommand.java
@@ -9,8 +9,8 @@
 import org.burdockbay.core.error.BurdockbayException;
 import org.kohsuke.args4j.Argument;
 
-/** Compares a document with the one in force, by section and key. */
-public final class DiffCommand extends OperatorCommand {
+/** Compares a configuration document with the one in force, section by section and key by key. */
+public final class DiffCommand extends HostClientCommand {
 
   @Argument(required = true, metaVar = "FILE", usage = "configuration document")
   private Path file;
@@ -23,8 +23,8 @@
   @Override
   public ExitCode run() throws BurdockbayException {
     String text = client().get("/v1/operator/configuration").path("text").asText();
-    Set<String> inForce = settings("in-force", text);
-    Set<String> given = settings(file.toString(), DocumentFile.read(file));
+    Set<String> inForce = settingLines("in-force", text);
+    Set<String> given = settingLines(file.toString(), DocumentFile.read(file));
     boolean same = true;
     for (String setting : inForce) {
       if (!given.contains(setting)) {
@@ -41,14 +41,15 @@
     return same ? ExitCode.OK : ExitCode.FAILED;
   }
 
-  private static Set<String> settings(String name, String text) throws BurdockbayException {
-    Set<String> settings = new LinkedHashSet<>();
+  /** Returns one line for each section header and each setting, in the order of the document. */
+  private static Set<String> settingLines(String name, String text) throws BurdockbayException {
+    Set<String> lines = new LinkedHashSet<>();
     for (IniDocument.Section section : new IniReader(name).read(text).sections()) {
-      settings.add("[" + section.header() + "]");
+      lines.add("[" + section.header() + "]");
       for (IniDocument.Entry entry : section.entries()) {
-        settings.add("[" + section.header() + "] " + entry.key() + " = " + entry.value());
+        lines.add("[" + section.header() + "] " + entry.key() + " = " + entry.value());
       }
     }
-    return settings;
+    return lines;
   }
 }
--- a/burdockbay-app/src/main/java/org/burdockbay/app/command/DrainCommand.java
+++ b/burdockbay-app/src/main/java/org/burdockbay/app/command/DrainCommand.java
@@ -4,8 +4,8 @@
 import org.burdockbay.app.ExitCode;
 import org.burdockbay.core.error.BurdockbayException;
 
-/** Begins a planned stop of a host. */
-public final class DrainCommand extends OperatorCommand {
+/** Starts a planned stop of a host; doesn't wait until the host has stopped. */
+public final class DrainCommand extends HostClientCommand {
 
   @Override
   public String summary() {
--- a/burdockbay-app/src/main/java/org/burdockbay/app/command/HistoryCommand.java
+++ b/burdockbay-app/src/main/java/org/burdockbay/app/command/HistoryCommand.java
@@ -4,8 +4,8 @@
 import org.burdockbay.app.ExitCode;
 import org.burdockbay.core.error.BurdockbayException;
 
-/** Lists the versions of the configuration that a host with a disk keeps. */
-public final class HistoryCommand extends OperatorCommand {
+/** Lists the configuration versions that a host with a data folder retains. */
+public final class HistoryCommand extends HostClientCommand {
 
   @Override
   public String summary() {
--- a/burdockbay-app/src/main/java/org/burdockbay/app/command/RunnerCommand.java
+++ b/burdockbay-app/src/main/java/org/burdockbay/app/command/RunnerCommand.java
@@ -11,7 +11,7 @@
 import org.burdockbay.bench.runner.StandInRunner;
 import org.kohsuke.args4j.Option;
 
-/** Runs a stand-in upstream. */
+/** Runs a stand-in upstream with optional faults until the process is stopped. */
 public final class RunnerCommand implements Command {
 
   @Option(name = "--name", required = true, metaVar = "NAME", usage = "name of the runner")
@@ -78,7 +78,7 @@
                         name,
                         runner.startedTasks(),
                         runner.startCalls(),
-                        runner.messages())));
+                        runner.receivedCalls())));
     try {
       new CountDownLatch(1).await();
     } catch (InterruptedException e) {
--- a/burdockbay-app/src/main/java/org/burdockbay/app/command/SlopesCommand.java
+++ b/burdockbay-app/src/main/java/org/burdockbay/app/command/SlopesCommand.java
@@ -2,10 +2,10 @@
 
 import org.burdockbay.app.Command;
 import org.burdockbay.app.ExitCode;
-import org.burdockbay.bench.slope.Slopes;
+import org.burdockbay.bench.slope.CoreBenchmark;
 import org.burdockbay.core.error.BurdockbayException;
 
-/** Measures the slopes of docs/CAPACITY.md. */
+/** Runs the {@link CoreBenchmark}, the source of the cost figures in docs/CAPACITY.md. */
 public final class SlopesCommand implements Command {
 
   @Override
@@ -15,7 +15,7 @@
 
   @Override
   public ExitCode run() throws BurdockbayException {
-    new Slopes(System.out).run();
+    new CoreBenchmark(System.out).run();
     return ExitCode.OK;
   }
 }
--- a/burdockbay-app/src/test/java/org/burdockbay/app/ProcessFailureTest.java
+++ b/burdockbay-app/src/test/java/org/burdockbay/app/ProcessFailureTest.java
@@ -10,11 +10,11 @@
 import org.testng.annotations.BeforeClass;
 import org.testng.annotations.Test;
 
-/** Failures of whole processes of the real program. */
+/** Failures of host processes, tested with the real program. */
 public class ProcessFailureTest {
 
   private static final int JOBS = 6;
-  private static final int TASKS_A_JOB = 2;
+  private static final int TASKS_PER_JOB = 2;
   private TestCluster cluster;
 
   /** Starts the hosts once for all tests. */
@@ -23,7 +23,7 @@
     cluster = new TestCluster();
   }
 
-  /** Stops everything. */
+  /** Stops the hosts and the runners. */
   @AfterClass(alwaysRun = true)
   public void stopCluster() throws Exception {
     if (cluster != null) {
@@ -31,119 +31,125 @@
     }
   }
 
-  /** Brings every host back, also after a test that failed half way. */
+  /** Resumes or restarts every host, also after a failed test. */
   @AfterMethod(alwaysRun = true)
-  public void startAllHosts() throws Exception {
-    cluster.startAll();
+  public void restoreAllHosts() throws Exception {
+    cluster.restoreAll();
   }
 
   /**
-   * The host that dispatches a domain loses power while bookings run. The callers wait at the other
-   * host of the domain; each must get its whole answer, and no booking may be made twice.
+   * The dispatcher of a domain is killed, as by a power loss, while at-most-once jobs run. Callers
+   * connected to the other host of the domain must receive complete answers, and no task may start
+   * twice.
    */
   @Test
   public void finishesBookingsWhenTheDispatcherIsKilled() throws Exception {
-    String dispatcher = dispatcher();
-    final int before = cluster.startedTasks();
+    String dispatcher = awaitDispatcher();
+    final int startedBefore = cluster.startedTasks();
     List<CompletableFuture<TestCluster.Answer>> answers =
-        submitAll(other(dispatcher), "kill", 1_500);
-    cluster.await("tasks run", () -> cluster.startedTasks() >= before + JOBS * TASKS_A_JOB);
+        submitAll(otherNorthHost(dispatcher), "kill", 1_500);
+    cluster.await(
+        "tasks run", () -> cluster.startedTasks() >= startedBefore + JOBS * TASKS_PER_JOB);
     cluster.kill(dispatcher);
-    expectAll(answers);
-    assertEquals(cluster.startedTasks(), before + JOBS * TASKS_A_JOB);
+    assertAllAnswered(answers);
+    assertEquals(cluster.startedTasks(), startedBefore + JOBS * TASKS_PER_JOB);
     cluster.start(dispatcher);
     awaitReady(dispatcher);
   }
 
   /**
-   * The dispatching host freezes for longer than its peers wait, another one takes over, and the
-   * first comes back and goes on where it was. Nothing may be booked twice by the two.
+   * The dispatcher's process is paused until another host has taken over and answered, then resumes
+   * with its old state. Neither dispatcher may start a task that the other has started.
    */
   @Test
-  public void finishesBookingsWhenTheDispatcherFreezesAndReturns() throws Exception {
-    String dispatcher = dispatcher();
-    final int before = cluster.startedTasks();
+  public void finishesBookingsWhenTheDispatcherIsPausedAndResumed() throws Exception {
+    String dispatcher = awaitDispatcher();
+    final int startedBefore = cluster.startedTasks();
     List<CompletableFuture<TestCluster.Answer>> answers =
-        submitAll(other(dispatcher), "freeze", 1_500);
-    cluster.await("tasks run", () -> cluster.startedTasks() >= before + JOBS * TASKS_A_JOB);
-    cluster.signal(dispatcher, "STOP");
-    expectAll(answers);
-    cluster.signal(dispatcher, "CONT");
-    expectAll(submitAll(other(dispatcher), "freeze", 1_500));
-    assertEquals(cluster.startedTasks(), before + JOBS * TASKS_A_JOB);
+        submitAll(otherNorthHost(dispatcher), "freeze", 1_500);
+    cluster.await(
+        "tasks run", () -> cluster.startedTasks() >= startedBefore + JOBS * TASKS_PER_JOB);
+    cluster.sendSignal(dispatcher, "STOP");
+    assertAllAnswered(answers);
+    cluster.sendSignal(dispatcher, "CONT");
+    assertAllAnswered(submitAll(otherNorthHost(dispatcher), "freeze", 1_500));
+    assertEquals(cluster.startedTasks(), startedBefore + JOBS * TASKS_PER_JOB);
     awaitReady(dispatcher);
   }
 
   /**
-   * A host is stopped as planned while callers wait at it for running bookings. It must answer them
-   * all before it exits with 0.
+   * A host receives SIGTERM while callers wait for running jobs. It must answer all of them before
+   * it exits with code 0.
    */
   @Test
-  public void answersEveryoneBeforePlannedStops() throws Exception {
-    String dispatcher = dispatcher();
-    final int before = cluster.startedTasks();
+  public void answersAllCallersBeforePlannedStop() throws Exception {
+    String dispatcher = awaitDispatcher();
+    final int startedBefore = cluster.startedTasks();
     List<CompletableFuture<TestCluster.Answer>> answers = submitAll(dispatcher, "stop", 1_500);
-    cluster.await("tasks run", () -> cluster.startedTasks() >= before + JOBS * TASKS_A_JOB);
-    cluster.signal(dispatcher, "TERM");
-    expectAll(answers);
+    cluster.await(
+        "tasks run", () -> cluster.startedTasks() >= startedBefore + JOBS * TASKS_PER_JOB);
+    cluster.sendSignal(dispatcher, "TERM");
+    assertAllAnswered(answers);
     assertEquals(cluster.awaitExit(dispatcher), 0);
-    assertEquals(cluster.startedTasks(), before + JOBS * TASKS_A_JOB);
+    assertEquals(cluster.startedTasks(), startedBefore + JOBS * TASKS_PER_JOB);
     cluster.start(dispatcher);
     awaitReady(dispatcher);
   }
 
   /**
-   * A host's disk is lost and the host comes back with an empty one. It must become a voter again
-   * under a new identity, without an operator, and the configuration must be in force on it.
+   * A voter restarts with an empty data folder after the loss of its disk. It must become a voter
+   * again under a new incarnation, without operator action, and have the configuration in force.
    */
   @Test
-  public void takesHostsWithLostDisksBackAsNewVoters() throws Exception {
+  public void readmitsHostWithLostDiskAsNewVoter() throws Exception {
     cluster.kill("c");
-    cluster.wipe("c");
+    cluster.deleteDataFolder("c");
     cluster.start("c");
     awaitReady("c");
     cluster.await(
         "c votes under a new incarnation",
         () -> {
-          String voters = cluster.report("a").path("agreement").path("voters").toString();
+          String voters = cluster.statusReport("a").path("agreement").path("voters").toString();
           return voters.contains("\"c#") && !voters.contains("\"c#1\"");
         });
-    assertEquals(cluster.report("c").path("self").path("configurationVersion").asLong(), 1);
+    assertEquals(cluster.statusReport("c").path("self").path("configurationVersion").asLong(), 1);
   }
 
-  private String dispatcher() throws Exception {
+  private String awaitDispatcher() throws Exception {
     cluster.await("domain north has a dispatcher", () -> !cluster.northDispatcher().isEmpty());
     String dispatcher = cluster.northDispatcher();
     cluster.await(
-        "the dispatcher guards",
-        () -> cluster.report(dispatcher).path("dispatch").path("guarding").asBoolean());
+        "the dispatcher starts at-most-once jobs",
+        () -> cluster.statusReport(dispatcher).path("dispatch").path("guarding").asBoolean());
     return dispatcher;
   }
 
-  private static String other(String host) {
+  private static String otherNorthHost(String host) {
     return host.equals("a") ? "b" : "a";
   }
 
   private List<CompletableFuture<TestCluster.Answer>> submitAll(
-      String host, String name, int runMillis) {
+      String host, String keyPrefix, int runMillis) {
     List<CompletableFuture<TestCluster.Answer>> answers = new ArrayList<>();
     for (int i = 0; i < JOBS; i++) {
-      answers.add(cluster.submit(host, "booking", name + "-" + i, runMillis));
+      answers.add(cluster.submit(host, "booking", keyPrefix + "-" + i, runMillis));
     }
     return answers;
   }
 
-  private static void expectAll(List<CompletableFuture<TestCluster.Answer>> answers) {
+  private static void assertAllAnswered(List<CompletableFuture<TestCluster.Answer>> answers) {
     for (CompletableFuture<TestCluster.Answer> answer : answers) {
-      TestCluster.Answer got = answer.join();
-      assertEquals(got.code(), 200, got.body().toString());
-      assertEquals(got.body().path("answers").size(), TASKS_A_JOB);
+      TestCluster.Answer received = answer.join();
+      assertEquals(received.code(), 200, received.body().toString());
+      assertEquals(received.body().path("answers").size(), TASKS_PER_JOB);
     }
   }
 
   private void awaitReady(String host) throws Exception {
     cluster.await(host + " is ready", () -> cluster.get(host, "/ready", "").code() == 200);
-    // A host that has just started waits until it has heard of the runners and of every domain.
-    cluster.await(host + " hears the others", () -> cluster.report(host).path("live").size() == 2);
+    // A newly started host first waits for contact from the runners and from every domain.
+    cluster.await(
+        host + " lists both other hosts as live",
+        () -> cluster.statusReport(host).path("live").size() == 2);
   }
 }
--- a/burdockbay-bench/src/main/java/org/burdockbay/bench/slope/Slopes.java
+++ b/burdockbay-bench/src/main/java/org/burdockbay/bench/slope/CoreBenchmark.java
@@ -34,11 +34,14 @@
 import org.burdockbay.wire.ControlCodec;
 import org.burdockbay.wire.PeerCodec;
 
-/** Measures the core alone, in one thread and with no network, and prints one line a figure. */
-public final class Slopes {
-
-  private static final int SLOTS = 8;
-  private static final int TASKS_A_JOB = 20;
+/**
+ * Benchmark of the core alone, on one thread and without a network. Prints one line for each
+ * measurement, with the cost of a task, a ledger record or a host.
+ */
+public final class CoreBenchmark {
+
+  private static final int SLOTS_PER_RUNNER = 8;
+  private static final int TASKS_PER_JOB = 20;
   private static final int JOBS = 5_000;
   private static final int ROUNDS = 3;
   private static final String CONFIGURATION =
@@ -57,88 +60,88 @@
 
   private final PrintStream out;
 
-  /** Creates the measurement with where it prints. */
-  public Slopes(PrintStream out) {
+  /** Creates a benchmark that prints its results to the given stream. */
+  public CoreBenchmark(PrintStream out) {
     this.out = out;
   }
 
   /**
-   * Measures everything.
+   * Runs all measurements.
    *
-   * @throws BurdockbayException if a part can't be built
+   * @throws BurdockbayException if a measured component can't be created
    */
   public void run() throws BurdockbayException {
     for (int runners : new int[] {10, 40, 160, 320}) {
-      dispatch(runners);
+      measureDispatch(runners);
     }
     for (int records : new int[] {1_000, 10_000, 100_000}) {
-      ledger(records);
+      measureLedger(records);
     }
     for (int hosts : new int[] {7, 14, 28, 56}) {
-      membership(hosts);
+      measureMembership(hosts);
     }
   }
 
-  private void dispatch(int runners) throws StateChartException, ConfigurationException {
-    double best = Double.MAX_VALUE;
+  private void measureDispatch(int runners) throws StateChartException, ConfigurationException {
+    double bestMicros = Double.MAX_VALUE;
     for (int round = 0; round < ROUNDS; round++) {
-      best = Math.min(best, dispatchRound(runners));
+      bestMicros = Math.min(bestMicros, measureDispatchRound(runners));
     }
     print(
         String.format(
             Locale.ROOT,
             "part=dispatch runners=%d micros-per-task=%.2f tasks-per-second-per-core=%.0f",
             runners,
-            best,
-            1e6 / best));
+            bestMicros,
+            1e6 / bestMicros));
   }
 
-  /** Returns the time of one task through the dispatcher, in microseconds. */
-  private static double dispatchRound(int runners)
+  /** Returns the mean time that the dispatcher spends on a task, in microseconds. */
+  private static double measureDispatchRound(int runners)
       throws StateChartException, ConfigurationException {
     Dispatcher dispatcher = new Dispatcher("north");
-    long now = 1_000_000;
+    long nowMillis = 1_000_000;
     dispatcher.handle(
         new DispatchEvent.ConfigurationChanged(
             DispatchConfiguration.parse("slopes", 1, CONFIGURATION)),
-        now);
-    announce(dispatcher, runners, now);
-    now += 1_600;
-    announce(dispatcher, runners, now);
-    dispatcher.handle(new DispatchEvent.EpochGranted(9), now);
+        nowMillis);
+    announceRunners(dispatcher, runners, nowMillis);
+    nowMillis += 1_600;
+    announceRunners(dispatcher, runners, nowMillis);
+    dispatcher.handle(new DispatchEvent.EpochGranted(9), nowMillis);
     for (int i = 0; i < runners; i++) {
       dispatcher.handle(
-          new DispatchEvent.RunnerFenced(new RunnerId("r" + i, 1), 9, List.of()), now);
+          new DispatchEvent.RunnerFenced(new RunnerId("r" + i, 1), 9, List.of()), nowMillis);
     }
-    dispatcher.handle(new DispatchEvent.Tick(), now);
+    dispatcher.handle(new DispatchEvent.Tick(), nowMillis);
     Deque<DispatchEffect.StartAttempt> running = new ArrayDeque<>();
-    int ended = 0;
-    long start = System.nanoTime();
+    int endedAttempts = 0;
+    long startNanos = System.nanoTime();
     for (int job = 0; job < JOBS; job++) {
-      collect(dispatcher.handle(submission(job), now), running);
-      int most = runners * SLOTS * 9 / 10;
-      while (running.size() > most || (job == JOBS - 1 && !running.isEmpty())) {
+      collectStarts(dispatcher.handle(jobSubmission(job), nowMillis), running);
+      int maxRunning = runners * SLOTS_PER_RUNNER * 9 / 10;
+      while (running.size() > maxRunning || (job == JOBS - 1 && !running.isEmpty())) {
         DispatchEffect.StartAttempt first = running.remove();
-        collect(
+        collectStarts(
             dispatcher.handle(
                 new DispatchEvent.AttemptEnded(
                     first.attempt(), first.runner(), new AttemptOutcome.Succeeded("1")),
-                now),
+                nowMillis),
             running);
-        ended++;
+        endedAttempts++;
       }
       if (job % 50 == 0) {
-        now += 25;
-        announce(dispatcher, runners, now);
-        dispatcher.handle(new DispatchEvent.Tick(), now);
+        nowMillis += 25;
+        announceRunners(dispatcher, runners, nowMillis);
+        dispatcher.handle(new DispatchEvent.Tick(), nowMillis);
       }
     }
-    return (System.nanoTime() - start) / 1e3 / ended;
+    return (System.nanoTime() - startNanos) / 1e3 / endedAttempts;
   }
 
-  private static DispatchEvent submission(int job) {
+  private static DispatchEvent jobSubmission(int job) {
     List<String> tasks = new ArrayList<>();
-    for (int i = 0; i < TASKS_A_JOB; i++) {
+    for (int i = 0; i < TASKS_PER_JOB; i++) {
       tasks.add("{\"lot\":" + i + "}");
     }
     JobRequest request =
@@ -147,7 +150,7 @@
     return new DispatchEvent.JobSubmitted(request, "host", Arrival.FIRST);
   }
 
-  private static void collect(
+  private static void collectStarts(
       List<DispatchEffect> effects, Deque<DispatchEffect.StartAttempt> running) {
     for (DispatchEffect effect : effects) {
       if (effect instanceof DispatchEffect.StartAttempt start) {
@@ -156,48 +159,53 @@
     }
   }
 
-  private static void announce(Dispatcher dispatcher, int runners, long now) {
+  private static void announceRunners(Dispatcher dispatcher, int runners, long nowMillis) {
     for (int i = 0; i < runners; i++) {
       RunnerAnnouncement announcement =
           new RunnerAnnouncement(
-              new RunnerId("r" + i, 1), "http://x", Set.of("desk"), Set.of(), SLOTS, false);
-      dispatcher.handle(new DispatchEvent.RunnerAnnounced(announcement), now);
+              new RunnerId("r" + i, 1),
+              "http://x",
+              Set.of("desk"),
+              Set.of(),
+              SLOTS_PER_RUNNER,
+              false);
+      dispatcher.handle(new DispatchEvent.RunnerAnnounced(announcement), nowMillis);
     }
   }
 
-  private void ledger(int records) {
+  private void measureLedger(int records) {
     ControlState state = new ControlState();
-    long heapBefore = usedHeap();
-    long start = System.nanoTime();
-    apply(state, new LedgerRequest.Register(5));
+    long heapBefore = usedHeapBytes();
+    long startNanos = System.nanoTime();
+    applyRequest(state, new LedgerRequest.Register(5));
     JobOutcome outcome = new JobOutcome.Completed(List.of("{\"booked\":true}"));
     for (int i = 0; i < records; i++) {
       SubmissionKey key = new SubmissionKey("clerk-" + i % 23, "session-" + i);
-      apply(state, new LedgerRequest.Open(5, key, "0123456789abcdef".repeat(4), 2));
-      apply(state, new LedgerRequest.Close(5, key, outcome));
+      applyRequest(state, new LedgerRequest.Open(5, key, "0123456789abcdef".repeat(4), 2));
+      applyRequest(state, new LedgerRequest.Close(5, key, outcome));
     }
-    double micros = (System.nanoTime() - start) / 1e3 / records;
-    long bytes = (usedHeap() - heapBefore) / records;
-    start = System.nanoTime();
-    int size = ControlCodec.toBytes(state.image()).size();
-    double imageMillis = (System.nanoTime() - start) / 1e6;
+    double microsPerRecord = (System.nanoTime() - startNanos) / 1e3 / records;
+    long heapBytesPerRecord = (usedHeapBytes() - heapBefore) / records;
+    startNanos = System.nanoTime();
+    int imageBytes = ControlCodec.toBytes(state.image()).size();
+    double imageMillis = (System.nanoTime() - startNanos) / 1e6;
     print(
         String.format(
             Locale.ROOT,
             "part=ledger records=%d micros-per-open-and-close=%.2f heap-bytes-per-record=%d"
                 + " image-bytes-per-record=%d image-millis=%.1f",
             records,
-            micros,
-            bytes,
-            size / records,
+            microsPerRecord,
+            heapBytesPerRecord,
+            imageBytes / records,
             imageMillis));
   }
 
-  private static void apply(ControlState state, LedgerRequest request) {
+  private static void applyRequest(ControlState state, LedgerRequest request) {
     state.apply(new ControlCommand.LedgerOperation(new LedgerCommand("north", request)), 1);
   }
 
-  private void membership(int hosts) {
+  private void measureMembership(int hosts) {
     Map<String, String> domains = new TreeMap<>();
     for (int i = 0; i < hosts; i++) {
       domains.put("host-" + i, "domain-" + i % 8);
@@ -209,19 +217,20 @@
             statuses.add(
                 new HostStatus(
                     host, domain, 1, 1, 7, 0, 99, false, "host-1", new DomainLoad(10, 5))));
-    int bytes = PeerCodec.encode(new PeerMessage.Heartbeat(statuses.getLast())).getSerializedSize();
+    int heartbeatBytes =
+        PeerCodec.encode(new PeerMessage.Heartbeat(statuses.getLast())).getSerializedSize();
     int rounds = 4_000;
-    long start = 0;
+    long startNanos = 0;
     for (int round = 0; round < rounds; round++) {
       if (round == rounds / 2) {
-        start = System.nanoTime();
+        startNanos = System.nanoTime();
       }
       for (HostStatus status : statuses) {
         membership.heartbeat(status, round * 250L);
       }
       membership.tick(round * 250L);
     }
-    double microsPerSecond = (System.nanoTime() - start) / 1e3 / (rounds / 2.0) * 4;
+    double microsPerSecond = (System.nanoTime() - startNanos) / 1e3 / (rounds / 2.0) * 4;
     print(
         String.format(
             Locale.ROOT,
@@ -229,11 +238,11 @@
                 + " bytes-sent-per-second=%d",
             hosts,
             microsPerSecond,
-            bytes,
-            (hosts - 1) * 4 * (bytes + 4)));
+            heartbeatBytes,
+            (hosts - 1) * 4 * (heartbeatBytes + 4)));
   }
 
-  private static long usedHeap() {
+  private static long usedHeapBytes() {
     System.gc();
     Runtime runtime = Runtime.getRuntime();
     return runtime.totalMemory() - runtime.freeMemory();
