--- a/burdockbay-core/src/main/java/org/burdockbay/core/intake/WorkIntake.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/intake/WorkIntake.java
@@ -48,14 +48,14 @@
    * Silence after which a dispatcher has been replaced, unless this host was paused. The time after
    * which a host is considered lost, plus a few ticks.
    */
-  private static final long MAX_DISPATCHER_SILENCE_MILLIS = 600;
+  private static final long DISPATCHER_SILENCE_TIMEOUT_MILLIS = 600;
 
   private final String self;
   private final long maxOrphanedRunMillis;
   private final ShardSelector shardSelector;
   private final Map<Long, PendingWork> workByTicket = new LinkedHashMap<>();
   private final Map<String, PendingWork> workById = new LinkedHashMap<>();
-  private final Map<String, Long> lastContactAt = new HashMap<>();
+  private final Map<String, Long> lastContactByHost = new HashMap<>();
   private final Map<ShardId, Long> withoutDispatcherSince = new HashMap<>();
   private final Map<IntakeEffect.Cancel, Long> cancellations = new LinkedHashMap<>();
   private Map<ShardId, IntakeEvent.Dispatcher> dispatchers = Map.of();
@@ -196,7 +196,7 @@
     updateLastContacts();
     Set<IntakeEvent.Dispatcher> appeared = new HashSet<>(current.values());
     appeared.removeAll(dispatchers.values());
-    appeared.forEach(dispatcher -> lastContactAt.put(dispatcher.host(), now));
+    appeared.forEach(dispatcher -> lastContactByHost.put(dispatcher.host(), now));
     dispatchers.keySet().forEach(shard -> withoutDispatcherSince.putIfAbsent(shard, now));
     withoutDispatcherSince.keySet().removeAll(current.keySet());
     dispatchers = current;
@@ -214,7 +214,7 @@
   }
 
   private void recordContact(String host) {
-    lastContactAt.put(host, now);
+    lastContactByHost.put(host, now);
   }
 
   /**
@@ -222,11 +222,11 @@
    * in contact with itself.
    */
   private void updateLastContacts() {
-    lastContactAt.put(self, now);
+    lastContactByHost.put(self, now);
     for (PendingWork work : workById.values()) {
       if (work.submittedTo.isPresent() && work.submittedTo.equals(dispatcherOf(work))) {
         work.lastContactAt =
-            lastContactAt.getOrDefault(work.submittedTo.get().host(), work.lastContactAt);
+            lastContactByHost.getOrDefault(work.submittedTo.get().host(), work.lastContactAt);
       }
     }
   }
@@ -319,7 +319,8 @@
    * still alive; then it is the time of the submission.
    */
   private static long orphanedSince(PendingWork work) {
-    boolean wasSilent = work.lastSubmittedAt - work.lastContactAt > MAX_DISPATCHER_SILENCE_MILLIS;
+    boolean wasSilent =
+        work.lastSubmittedAt - work.lastContactAt > DISPATCHER_SILENCE_TIMEOUT_MILLIS;
     return wasSilent ? work.lastSubmittedAt : work.lastContactAt;
   }
 
--- a/burdockbay-core/src/main/java/org/burdockbay/core/lease/LeaseDispatcher.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/lease/LeaseDispatcher.java
@@ -27,7 +27,7 @@
    */
   private static final long PAUSE_THRESHOLD_MILLIS = 250;
 
-  private static final int MILLICORES = 1_000;
+  private static final int MILLICORES_PER_CORE = 1_000;
 
   private final DispatchContext context = new DispatchContext();
   private final AdmissionRule admission = new AdmissionRule();
@@ -106,7 +106,9 @@
     works.unansweredWork().forEach(backlog::add);
     int freeCores =
         usableUpstreams.stream()
-            .mapToInt(upstream -> Math.max(0, upstream.freeCapacity().cpuMillicores()) / MILLICORES)
+            .mapToInt(
+                upstream ->
+                    Math.max(0, upstream.freeCapacity().cpuMillicores()) / MILLICORES_PER_CORE)
             .sum();
     return new DomainLoad(freeCores, Math.round(backlog.waitMillis()));
   }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/lease/UpstreamLease.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/lease/UpstreamLease.java
@@ -19,7 +19,7 @@
   /** Longest pause, in milliseconds; consecutive failures double the pause up to this. */
   static final long MAX_PAUSE_MILLIS = 3_000;
 
-  private static final int MAX_DOUBLINGS = 3;
+  private static final int MAX_BACKOFF_DOUBLINGS = 3;
 
   final Map<RunId, LeasedRun> runs = new HashMap<>();
   UpstreamAnnouncement announcement;
@@ -73,7 +73,7 @@
    * Upper bound on how far the upstream's clock is ahead of this host's, in milliseconds, as of
    * {@link #maxClockLeadMeasuredAt}.
    */
-  private OptionalLong maxClockLead = OptionalLong.empty();
+  private OptionalLong maxClockLeadMillis = OptionalLong.empty();
 
   private long maxClockLeadMeasuredAt;
   private boolean hasClockReading;
@@ -122,7 +122,7 @@
    * from earlier renewals unless this host's clock was paused.
    */
   long localPauseMillis(long clock, long now) {
-    return maxClockLead.isEmpty() ? 0 : clock - now - maxClockLeadAt(now);
+    return maxClockLeadMillis.isEmpty() ? 0 : clock - now - maxClockLeadAt(now);
   }
 
   /**
@@ -131,15 +131,15 @@
    */
   void updateMaxClockLead(long clock, long now) {
     long lead = clock - renewalSentAt;
-    if (maxClockLead.isEmpty() || lead < maxClockLeadAt(now)) {
-      maxClockLead = OptionalLong.of(lead);
+    if (maxClockLeadMillis.isEmpty() || lead < maxClockLeadAt(now)) {
+      maxClockLeadMillis = OptionalLong.of(lead);
       maxClockLeadMeasuredAt = now;
     }
   }
 
   private long maxClockLeadAt(long now) {
     double drift = (now - maxClockLeadMeasuredAt) * (1 - LeaseTiming.MIN_CLOCK_RATE);
-    return maxClockLead.orElseThrow() + (long) Math.ceil(drift);
+    return maxClockLeadMillis.orElseThrow() + (long) Math.ceil(drift);
   }
 
   /**
@@ -183,7 +183,7 @@
    */
   long renewalBackoffMillis() {
     int retries = unansweredRenewals - LeaseTable.MAX_SHORT_TIMEOUT_RENEWALS;
-    return retries <= 0 ? 0 : BASE_PAUSE_MILLIS << Math.min(retries - 1, MAX_DOUBLINGS);
+    return retries <= 0 ? 0 : BASE_PAUSE_MILLIS << Math.min(retries - 1, MAX_BACKOFF_DOUBLINGS);
   }
 
   /**
--- a/burdockbay-core/src/main/java/org/burdockbay/core/lease/WorkTable.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/lease/WorkTable.java
@@ -31,7 +31,7 @@
   private final RunTable runs;
   private final AdmissionRule admission;
   private final Map<String, WorkState> works = new LinkedHashMap<>();
-  private final Map<String, Long> lastContacts = new HashMap<>();
+  private final Map<String, Long> lastContactByHost = new HashMap<>();
   private final Map<String, RetainedOutcome> outcomes = new LinkedHashMap<>();
   private final Map<RefusedTicket, RetainedOutcome> refusals = new HashMap<>();
   private final Map<String, Long> highestRunNumbers = new LinkedHashMap<>();
@@ -52,14 +52,14 @@
   void clear() {
     works.values().forEach(this::retainRunNumber);
     works.clear();
-    lastContacts.clear();
+    lastContactByHost.clear();
     outcomes.clear();
     refusals.clear();
   }
 
   /** Records that a message of an entry host has arrived. */
   void recordContact(String entryHost) {
-    lastContacts.merge(entryHost, context.arrivedAt(), Math::max);
+    lastContactByHost.merge(entryHost, context.arrivedAt(), Math::max);
   }
 
   /** Accepts or refuses submitted work. */
@@ -266,7 +266,7 @@
 
   private void dropLostEntryHosts() {
     List<String> silent =
-        lastContacts.entrySet().stream()
+        lastContactByHost.entrySet().stream()
             .filter(
                 contact ->
                     context.now() - contact.getValue()
@@ -275,7 +275,7 @@
             .filter(host -> !host.equals(self))
             .toList();
     for (String host : silent) {
-      lastContacts.remove(host);
+      lastContactByHost.remove(host);
       entryHostLost(host);
     }
   }
--- a/burdockbay-core/src/test/java/org/burdockbay/core/fleet/UpstreamRegistryTest.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/fleet/UpstreamRegistryTest.java
@@ -59,8 +59,8 @@
     assertTrue(fresh.expireSilentUpstreams(12_002).isEmpty());
   }
 
-  private static UpstreamAnnouncement announcement(long born, long sequence, boolean leaving) {
+  private static UpstreamAnnouncement announcement(long startedAt, long sequence, boolean leaving) {
     return new UpstreamAnnouncement(
-        "u", born, sequence, "desk", "10.0.0.1:80", "north", leaving, TaskSize.ZERO, Set.of());
+        "u", startedAt, sequence, "desk", "10.0.0.1:80", "north", leaving, TaskSize.ZERO, Set.of());
   }
 }
