--- a/burdockbay-core/src/main/java/org/burdockbay/core/intake/IntakeEffect.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/intake/IntakeEffect.java
@@ -21,7 +21,10 @@
       long quietPeriodMillis)
       implements IntakeEffect {}
 
-  /** Notifies a dispatcher that nobody waits for the work any more at this host. */
+  /**
+   * Notifies a dispatcher that this host no longer waits for the work there, because no caller
+   * waits any longer or because the work was moved to another dispatcher.
+   */
   record Cancel(IntakeEvent.Dispatcher to, String workId) implements IntakeEffect {}
 
   /**
--- a/burdockbay-core/src/main/java/org/burdockbay/core/intake/ShardSelector.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/intake/ShardSelector.java
@@ -16,7 +16,7 @@
  *
  * <p>Compares only a few candidates, which are chosen by a hash of the work's id. Reported loads
  * are up to one heartbeat old; if all entry hosts selected the least loaded shard, they would
- * overload it at once.
+ * overload it together.
  */
 final class ShardSelector {
 
--- a/burdockbay-core/src/main/java/org/burdockbay/core/intake/WorkIntake.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/intake/WorkIntake.java
@@ -45,7 +45,7 @@
   private static final long RETENTION_MILLIS = 1_500;
 
   /**
-   * Silence after which a dispatcher has been replaced, unless this host was paused. The time after
+   * Silence after which a dispatcher has been replaced, unless this host was paused: the time after
    * which a host is considered lost, plus a few ticks.
    */
   private static final long DISPATCHER_SILENCE_TIMEOUT_MILLIS = 600;
@@ -79,7 +79,8 @@
   /**
    * Handles an event.
    *
-   * @param time the current time in milliseconds; a time before that of an earlier event is ignored
+   * @param time the current time in milliseconds; if the time of an earlier event was later, that
+   *     one is used
    * @return the actions to carry out, in order
    */
   public List<IntakeEffect> handle(IntakeEvent event, long time) {
@@ -166,7 +167,7 @@
     logEvent("report-outdated", work, work.callers.values().iterator().next(), " from=" + from);
   }
 
-  /** Offers refused work to another shard, or refuses the callers if there is none. */
+  /** Offers refused work to another shard, or answers the callers if there is none. */
   private void handleRefusal(PendingWork work, WorkOutcome.NotRun notRun) {
     PendingWork.Caller first = work.callers.values().iterator().next();
     work.submittedTo.map(IntakeEvent.Dispatcher::host).ifPresent(work.refusedBy::add);
--- a/burdockbay-core/src/main/java/org/burdockbay/core/lease/AdmissionRule.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/lease/AdmissionRule.java
@@ -41,8 +41,8 @@
   private static final long MIN_WAIT_LIMIT_MILLIS = 50;
 
   /**
-   * Upper bound of the limit on this wait, in milliseconds: after a longer one, the entry host may
-   * have switched to another dispatcher or may be gone.
+   * Upper bound of the limit on this wait, in milliseconds: work that waited longer isn't accepted,
+   * since its entry host may have switched to another dispatcher or may be gone.
    */
   static final long MAX_WAIT_MILLIS = 250;
 
--- a/burdockbay-core/src/main/java/org/burdockbay/core/lease/Backlog.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/lease/Backlog.java
@@ -46,7 +46,7 @@
 
   /**
    * Returns the time that the upstreams take for a demand, in milliseconds; 0 without any upstream,
-   * since there is nothing to estimate from. The work then waits until it expires.
+   * since there is nothing to estimate from. Work then waits until its own latest start has passed.
    */
   private double toMillis(double demand) {
     return usableMillicores == 0 ? 0 : demand / usableMillicores;
--- a/burdockbay-core/src/main/java/org/burdockbay/core/lease/LeaseEvent.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/lease/LeaseEvent.java
@@ -49,7 +49,7 @@
       implements LeaseEvent {}
 
   /**
-   * The caller of an entry host no longer waits for its work.
+   * An entry host no longer waits for work that it submitted.
    *
    * @param token the token under which the entry host regards this host as the dispatcher
    */
--- a/burdockbay-core/src/main/java/org/burdockbay/core/lease/LeaseTable.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/lease/LeaseTable.java
@@ -46,8 +46,9 @@
   private static final long EXTENSION_SILENCE_TIMEOUT_MILLIS = 450;
 
   /**
-   * Number of renewals in a row that have a short timeout, as single calls are lost. The first
-   * renewal of all, which opens the connection, has the long timeout.
+   * Number of renewals in a row that have a short timeout, as single calls are lost. Until an
+   * upstream has accepted the token, renewals have the long timeout: the first one opens the
+   * connection.
    */
   static final int MAX_SHORT_TIMEOUT_RENEWALS = 2;
 
--- a/burdockbay-core/src/main/java/org/burdockbay/core/lease/LeaseTiming.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/lease/LeaseTiming.java
@@ -5,8 +5,8 @@
  *
  * @param leaseMillis how long a renewed lease lasts on the upstream's clock
  * @param pollMillis how long a renewal waits at the upstream for the end of a run
- * @param resendIntervalMillis silence after which an order is sent again, and a renewal beyond its
- *     wait counts as unanswered
+ * @param resendIntervalMillis silence after which an order is sent again, or a renewal counts as
+ *     unanswered beyond its wait, at the earliest
  * @param answerTimeoutMillis silence after which an order counts as unanswered
  */
 public record LeaseTiming(
--- a/burdockbay-core/src/main/java/org/burdockbay/core/lease/RunTable.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/lease/RunTable.java
@@ -62,8 +62,8 @@
    * Returns whether an unanswered order that was sent at the given time counts as lost.
    *
    * <p>It does so only once later calls were answered: when this host or the network is slow, all
-   * answers are late, and copies would add to the load that causes the delay. A host that takes
-   * over with a cold process would send four copies of each of its first starts.
+   * answers are late, and copies would add to the load that causes the delay. Without this rule, a
+   * host that takes over with a cold process would send four copies of each of its first starts.
    */
   private boolean isLost(long sentAt) {
     return context.now() - sentAt >= timing.resendIntervalMillis()
--- a/burdockbay-core/src/main/java/org/burdockbay/core/lease/StragglerRule.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/lease/StragglerRule.java
@@ -35,8 +35,8 @@
 
   /**
    * Upstreams with overdue runs count as slow only while they are fewer than this share of the
-   * upstreams with runs. If there are more, the cause is common to all of them: this host is slow
-   * itself, was paused, or has just taken over the runs.
+   * upstreams with runs, or while there is just one. If there are more, the cause is common to all
+   * of them: this host is slow itself, was paused, or has just taken over the runs.
    */
   private static final double MAX_SLOW_UPSTREAM_SHARE = 0.25;
 
--- a/burdockbay-core/src/main/java/org/burdockbay/core/lease/UpstreamLease.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/lease/UpstreamLease.java
@@ -11,7 +11,7 @@
 final class UpstreamLease {
 
   /**
-   * Shortest pause of starts on an upstream that lacks capacity or is out of order, in
+   * Shortest pause of starts on an upstream that refuses tasks or keeps failing them, in
    * milliseconds.
    */
   static final long BASE_PAUSE_MILLIS = 200;
@@ -19,6 +19,7 @@
   /** Longest pause, in milliseconds; consecutive failures double the pause up to this. */
   static final long MAX_PAUSE_MILLIS = 3_000;
 
+  /** Maximum number of times that the pause before a renewal doubles. */
   private static final int MAX_BACKOFF_DOUBLINGS = 3;
 
   final Map<RunId, LeasedRun> runs = new HashMap<>();
--- a/burdockbay-core/src/main/java/org/burdockbay/core/shard/ShardAssignment.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/shard/ShardAssignment.java
@@ -10,8 +10,8 @@
  * Assigns hosts to the shards without a dispatcher, as the first candidates to claim them.
  *
  * <p>Each shard, in natural order, gets the host of the highest weight among the remaining ones.
- * Once a host has claimed its shard, both drop out without changing the other pairs, so that all
- * shards are claimed in one round.
+ * Once a host has claimed its shard, the pair is removed, which changes none of the other pairs; so
+ * all shards are claimed in one round.
  */
 public final class ShardAssignment {
 
--- a/burdockbay-core/src/main/java/org/burdockbay/core/work/WorkStep.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/work/WorkStep.java
@@ -27,7 +27,7 @@
   /** Copies the list. */
   public WorkStep {
     if (taskCount < 1) {
-      throw new IllegalArgumentException("a step needs a task, not " + taskCount);
+      throw new IllegalArgumentException("taskCount is " + taskCount + ", must be at least 1");
     }
     predecessors = List.copyOf(predecessors);
   }
