--- a/burdockbay-core/src/test/java/org/burdockbay/core/intake/WorkIntakeTest.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/intake/WorkIntakeTest.java
@@ -127,8 +127,8 @@
   }
 
   /**
-   * Guards against a missing or second answer when two callers wait for the same work, and against
-   * an effect of later reports.
+   * Guards against a missing or second answer when two callers wait for the same work. Later
+   * reports of the outcome change nothing.
    */
   @Test
   public void answersEveryWaitingCallerOnce() {
@@ -238,7 +238,7 @@
     assertTrue(answer.outcome() instanceof WorkOutcome.NotRun);
   }
 
-  /** Guards against reporting a job as not run which the next shard has just started. */
+  /** Guards against a report of "not run" for a job that the next shard has just started. */
   @Test
   public void ignoresLateRefusalOfEarlierShard() {
     changeDispatchers(Map.of(NORTH, FIRST, SOUTH, SECOND));
--- a/burdockbay-core/src/test/java/org/burdockbay/core/lease/HeavyLoadTest.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/lease/HeavyLoadTest.java
@@ -28,7 +28,7 @@
   /** Maximum loss of the in-time share against a single pool. */
   private static final double MAX_IN_TIME_LOSS = 0.05;
 
-  /** Processor time for one event, at which {@link #PROCESSOR_TRAFFIC} can be handled. */
+  /** Processor time for one event, in microseconds, that allows {@link #PROCESSOR_TRAFFIC}. */
   private static final long EVENT_MICROS = 950;
 
   /** The traffic that nearly saturates such a processor, as a multiple of the usual traffic. */
@@ -76,9 +76,9 @@
   }
 
   /**
-   * Guards against refusals after more than a quarter of the target time. Without a margin for new
-   * work, the predicted wait alone refuses 0.090 of all jobs later under overload, as more urgent
-   * work keeps arriving; with the margin it is 0.013.
+   * Guards against refusals after more than a quarter of the target time. Under overload, the
+   * predicted wait alone refuses 0.090 of all jobs so late, as more urgent work keeps arriving;
+   * with a margin for new work it is 0.013.
    */
   @Test
   public void refusesFewAfterLongWaits() {
@@ -106,8 +106,8 @@
 
   /**
    * Guards against a loss from dividing 245 upstreams into twelve shards, compared with a single
-   * pool that has no costs. The shards serve 0.992 in time against 0.996 of the pool, and 0.982 if
-   * jobs that the first shard refuses aren't offered to a second one.
+   * pool to which jobs are submitted without delay. The shards serve 0.992 in time against 0.996 of
+   * the pool, and 0.982 if jobs that the first shard refuses aren't offered to a second one.
    */
   @Test
   public void servesUsualTrafficOfDividedFleetInTime() {
--- a/burdockbay-core/src/test/java/org/burdockbay/core/lease/LargeFleetTest.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/lease/LargeFleetTest.java
@@ -13,7 +13,7 @@
   private static final int HOSTS_PER_DOMAIN = 4;
   private static final int UPSTREAMS_PER_DOMAIN = 30;
 
-  /** Processor time of a small host for one event. */
+  /** Processor time of a small host for one event, in microseconds. */
   private static final long EVENT_MICROS = 1_100;
 
   private static final int JOBS_PER_SECOND = 90;
--- a/burdockbay-core/src/test/java/org/burdockbay/core/lease/LeaseDispatcherTest.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/lease/LeaseDispatcherTest.java
@@ -190,8 +190,8 @@
 
   /**
    * Guards against overload by resent starts when a dispatcher takes over in a process that has
-   * just started and all answers are delayed. Resent after a fixed time, each of its first starts
-   * was sent four times, which delayed the answers further.
+   * just started and all answers are delayed. When starts were resent after a fixed time, each of
+   * its first starts was sent four times, which delayed the answers further.
    */
   @Test
   public void doesNotResendWhileAllAnswersAreDelayed() {
@@ -531,7 +531,7 @@
   }
 
   /**
-   * Guards against a dispatcher that continues after a process pause, in which another host may
+   * Guards against a dispatcher that continues after a process pause, during which another host may
    * have claimed its role.
    */
   @Test
@@ -560,8 +560,8 @@
   }
 
   /**
-   * Guards against valid leases for later starts that are based on the clock in the answer to a
-   * start after a suspension.
+   * Guards against starts with a valid lease after a suspension: the clock in the answer to a start
+   * would make the leases of later starts valid.
    */
   @Test
   public void givesUpRoleAfterPauseShownByStartAnswer() {
@@ -578,8 +578,8 @@
   }
 
   /**
-   * Guards against valid leases for later starts that are based on the clock in the answer to a
-   * stop after a suspension.
+   * Guards against starts with a valid lease after a suspension: the clock in the answer to a stop
+   * would make the leases of later starts valid.
    */
   @Test
   public void givesUpRoleAfterPauseShownByStopAnswer() {
@@ -638,7 +638,7 @@
    * Guards against tokens that rise too fast after a partition. An upstream that the other side's
    * dispatcher has taken over refuses all orders in transit. Counted individually, they made both
    * dispatchers supersede each other several times before they discovered each other, and their
-   * tokens ran so far ahead that a restarted host was refused for its whole lifetime.
+   * tokens ran so far ahead that a restarted host was refused for as long as it ran.
    */
   @Test
   public void countsConcurrentRefusalsAsOne() {
--- a/burdockbay-core/src/test/java/org/burdockbay/core/lease/LeaseFuzzTest.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/lease/LeaseFuzzTest.java
@@ -117,7 +117,7 @@
    *   <li>20261278, with simultaneous events: a run counted as ended because of a run list from
    *       before its start.
    *   <li>20261340 and 20261504: a dispatcher that was paused together with its clock started work
-   *       that its entry host had lost meanwhile.
+   *       that its entry host had lost in the meantime.
    *   <li>20261417: a submission for the dispatcher's earlier role, which therefore had no quiet
    *       period, was accepted under a new token.
    * </ul>
--- a/burdockbay-core/src/test/java/org/burdockbay/core/lease/TotalRestartTest.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/lease/TotalRestartTest.java
@@ -20,7 +20,7 @@
   private static final long SUBMISSION_INTERVAL_MILLIS = 300;
   private static final int CHECKED_CALLERS = 6;
 
-  /** Returns the number of rounds by which the upstreams' token exceeds all that hosts know. */
+  /** Returns the number of rounds by which the upstreams' token exceeds all tokens of the hosts. */
   @DataProvider
   public Object[][] roundsAhead() {
     return new Object[][] {{0}, {5}, {60}, {600}};
