--- a/burdockbay-core/src/main/java/org/burdockbay/core/intake/WorkIntake.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/intake/WorkIntake.java
@@ -45,17 +45,17 @@
   private static final long RETENTION_MILLIS = 1_500;
 
   /**
-   * Silence after which a dispatcher has been replaced, unless this host was paused. The time after
+   * Silence after which a dispatcher has been replaced, unless this host was paused: the time after
    * which a host is considered lost, plus a few ticks.
    */
-  private static final long MAX_DISPATCHER_SILENCE_MILLIS = 600;
+  private static final long DISPATCHER_SILENCE_TIMEOUT_MILLIS = 600;
 
   private final String self;
   private final long maxOrphanedRunMillis;
   private final ShardSelector shardSelector;
   private final Map<Long, PendingWork> workByTicket = new LinkedHashMap<>();
   private final Map<String, PendingWork> workById = new LinkedHashMap<>();
-  private final Map<String, Long> lastContactAt = new HashMap<>();
+  private final Map<String, Long> lastContactByHost = new HashMap<>();
   private final Map<ShardId, Long> withoutDispatcherSince = new HashMap<>();
   private final Map<IntakeEffect.Cancel, Long> cancellations = new LinkedHashMap<>();
   private Map<ShardId, IntakeEvent.Dispatcher> dispatchers = Map.of();
@@ -79,7 +79,8 @@
   /**
    * Handles an event.
    *
-   * @param time the current time in milliseconds; a time before that of an earlier event is ignored
+   * @param time the current time in milliseconds; if the time of an earlier event was later, that
+   *     one is used
    * @return the actions to carry out, in order
    */
   public List<IntakeEffect> handle(IntakeEvent event, long time) {
@@ -166,7 +167,7 @@
     logEvent("report-outdated", work, work.callers.values().iterator().next(), " from=" + from);
   }
 
-  /** Offers refused work to another shard, or refuses the callers if there is none. */
+  /** Offers refused work to another shard, or answers the callers if there is none. */
   private void handleRefusal(PendingWork work, WorkOutcome.NotRun notRun) {
     PendingWork.Caller first = work.callers.values().iterator().next();
     work.submittedTo.map(IntakeEvent.Dispatcher::host).ifPresent(work.refusedBy::add);
@@ -196,7 +197,7 @@
     updateLastContacts();
     Set<IntakeEvent.Dispatcher> appeared = new HashSet<>(current.values());
     appeared.removeAll(dispatchers.values());
-    appeared.forEach(dispatcher -> lastContactAt.put(dispatcher.host(), now));
+    appeared.forEach(dispatcher -> lastContactByHost.put(dispatcher.host(), now));
     dispatchers.keySet().forEach(shard -> withoutDispatcherSince.putIfAbsent(shard, now));
     withoutDispatcherSince.keySet().removeAll(current.keySet());
     dispatchers = current;
@@ -214,7 +215,7 @@
   }
 
   private void recordContact(String host) {
-    lastContactAt.put(host, now);
+    lastContactByHost.put(host, now);
   }
 
   /**
@@ -222,11 +223,11 @@
    * in contact with itself.
    */
   private void updateLastContacts() {
-    lastContactAt.put(self, now);
+    lastContactByHost.put(self, now);
     for (PendingWork work : workById.values()) {
       if (work.submittedTo.isPresent() && work.submittedTo.equals(dispatcherOf(work))) {
         work.lastContactAt =
-            lastContactAt.getOrDefault(work.submittedTo.get().host(), work.lastContactAt);
+            lastContactByHost.getOrDefault(work.submittedTo.get().host(), work.lastContactAt);
       }
     }
   }
@@ -319,7 +320,8 @@
    * still alive; then it is the time of the submission.
    */
   private static long orphanedSince(PendingWork work) {
-    boolean wasSilent = work.lastSubmittedAt - work.lastContactAt > MAX_DISPATCHER_SILENCE_MILLIS;
+    boolean wasSilent =
+        work.lastSubmittedAt - work.lastContactAt > DISPATCHER_SILENCE_TIMEOUT_MILLIS;
     return wasSilent ? work.lastSubmittedAt : work.lastContactAt;
   }
 
