--- a/burdockbay-core/src/main/java/org/burdockbay/core/catalog/CatalogSource.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/catalog/CatalogSource.java
@@ -93,7 +93,9 @@
 
   private CatalogPart slice(CatalogPart.Request request) {
     Optional<CompressedCatalog> requested =
-        newestFirst.stream().filter(kept -> kept.version() == request.version()).findFirst();
+        newestFirst.stream()
+            .filter(retained -> retained.version() == request.version())
+            .findFirst();
     CompressedCatalog catalog = requested.orElseGet(newestFirst::getFirst);
     int size = catalog.data().size();
     int from = requested.isPresent() ? Math.clamp(request.offset(), 0, size) : 0;
--- a/burdockbay-core/src/main/java/org/burdockbay/core/membership/Membership.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/membership/Membership.java
@@ -98,9 +98,9 @@
   private static final long NO_CONTACT_TIMEOUT_MULTIPLE = 6;
 
   private final String self;
-  private final String domain;
+  private final String group;
   private final String failureDomain;
-  private final Map<String, String> domainByHost;
+  private final Map<String, String> groupByHost;
   private final MembershipOptions options;
   private final boolean hasFixedHosts;
   private long startedAt;
@@ -126,32 +126,32 @@
    * Creates the membership of a host in a fixed list of hosts.
    *
    * @param self id of this host
-   * @param domainByHost failure domains of all hosts, including this one
+   * @param groupByHost failure domains of all hosts, including this one
    * @param now time of the start, in milliseconds
    */
-  public Membership(String self, Map<String, String> domainByHost, long now) {
-    this(self, domainByHost, "", listedHostOptions(self, domainByHost), true, now);
+  public Membership(String self, Map<String, String> groupByHost, long now) {
+    this(self, groupByHost, "", listedHostOptions(self, groupByHost), true, now);
   }
 
   private Membership(
       String self,
-      Map<String, String> domainByHost,
+      Map<String, String> groupByHost,
       String failureDomain,
       MembershipOptions options,
-      boolean fixedHosts,
+      boolean hasFixedHosts,
       long now) {
-    if (!domainByHost.containsKey(self)) {
-      throw new IllegalArgumentException("host " + self + " is not among " + domainByHost.keySet());
+    if (!groupByHost.containsKey(self)) {
+      throw new IllegalArgumentException("host " + self + " is not among " + groupByHost.keySet());
     }
     this.self = self;
-    this.domainByHost = new HashMap<>(domainByHost);
-    this.domain = domainByHost.get(self);
+    this.groupByHost = new HashMap<>(groupByHost);
+    this.group = groupByHost.get(self);
     this.failureDomain = failureDomain;
     this.options = options;
-    this.hasFixedHosts = fixedHosts;
+    this.hasFixedHosts = hasFixedHosts;
     this.startedAt = now;
     this.lastDiscoveryAt = now;
-    this.routes = RouteView.empty(domain);
+    this.routes = RouteView.empty(group);
   }
 
   /**
@@ -159,12 +159,12 @@
    * others.
    *
    * @param self id of this host
-   * @param domain group of this host; the hosts of a group elect dispatchers among themselves
+   * @param group group of this host; the hosts of a group elect dispatchers among themselves
    * @param now time of the start, in milliseconds
    */
   public static Membership withDiscovery(
-      String self, String domain, MembershipOptions options, long now) {
-    return withDiscovery(new HostDescriptor(self, domain, "", ""), options, now);
+      String self, String group, MembershipOptions options, long now) {
+    return withDiscovery(new HostDescriptor(self, group, "", ""), options, now);
   }
 
   /**
@@ -178,9 +178,8 @@
         self.id(), Map.of(self.id(), self.group()), self.domain(), options, false, now);
   }
 
-  private static MembershipOptions listedHostOptions(
-      String self, Map<String, String> domainByHost) {
-    int index = new TreeSet<>(domainByHost.keySet()).headSet(self).size();
+  private static MembershipOptions listedHostOptions(String self, Map<String, String> groupByHost) {
+    int index = new TreeSet<>(groupByHost.keySet()).headSet(self).size();
     return MembershipOptions.ofListedHost(index);
   }
 
@@ -204,8 +203,8 @@
   }
 
   /** Adds a host to the known hosts. */
-  public void addHost(String host, String hostDomain, long now) {
-    if (domainByHost.put(host, hostDomain) == null) {
+  public void addHost(String host, String hostGroup, long now) {
+    if (groupByHost.put(host, hostGroup) == null) {
       lastDiscoveryAt = now;
     }
   }
@@ -213,7 +212,7 @@
   /** Handles a heartbeat of another host. */
   public List<MembershipEffect> heartbeat(HostStatus status, long now) {
     List<MembershipEffect> effects = new ArrayList<>();
-    if (!status.domain().equals(domainByHost.get(status.host())) || status.host().equals(self)) {
+    if (!status.domain().equals(groupByHost.get(status.host())) || status.host().equals(self)) {
       return effects;
     }
     Contact before = lastContacts.get(status.host());
@@ -236,7 +235,7 @@
     if (before == null) {
       effects.add(new MembershipEffect.HostFound(status.host()));
     }
-    if (status.domain().equals(domain) || !hasFixedHosts) {
+    if (status.domain().equals(group) || !hasFixedHosts) {
       // Hosts that discover each other share one sequence of epochs. Hosts that never dispatch
       // report it as well: they have disks and retain it when all other hosts are killed.
       observeEpoch(Math.max(status.highestEpoch(), status.dispatcherEpoch()));
@@ -459,7 +458,7 @@
   private Stream<HostStatus> groupHosts() {
     return lastContacts.values().stream()
         .map(contact -> contact.status)
-        .filter(status -> status.domain().equals(domain));
+        .filter(status -> status.domain().equals(group));
   }
 
   /**
@@ -531,14 +530,14 @@
 
   /** Returns whether a dispatcher of this host's group would have been contacted by now. */
   private boolean hasSettleTimeElapsed(long now) {
-    long domainHosts = domainByHost.values().stream().filter(domain::equals).count();
+    long groupSize = groupByHost.values().stream().filter(group::equals).count();
     long live =
         lastContacts.values().stream()
-                .filter(contact -> contact.status.domain().equals(domain))
+                .filter(contact -> contact.status.domain().equals(group))
                 .count()
             + 1;
     if (hasFixedHosts) {
-      return now - startedAt > options.silenceTimeoutMillis() || live == domainHosts;
+      return now - startedAt > options.silenceTimeoutMillis() || live == groupSize;
     }
     if (firstContactAt.isEmpty()) {
       return now - startedAt > NO_CONTACT_TIMEOUT_MULTIPLE * options.silenceTimeoutMillis();
@@ -549,7 +548,7 @@
   }
 
   private boolean hasContactedAllHosts() {
-    return contactedHosts.size() == domainByHost.size() - 1;
+    return contactedHosts.size() == groupByHost.size() - 1;
   }
 
   /** Returns an epoch above all epochs seen; the host number makes it unique. */
@@ -569,20 +568,20 @@
       }
     }
     if (claimedEpoch != 0) {
-      dispatchers.put(domain, new RouteView.ActiveDispatcher(self, claimedEpoch, draining));
+      dispatchers.put(group, new RouteView.ActiveDispatcher(self, claimedEpoch, draining));
     }
     Set<String> openDomains = new HashSet<>();
     lastContacts.values().stream()
         .filter(contact -> !contact.status.draining())
         .forEach(contact -> openDomains.add(contact.status.domain()));
     if (!draining) {
-      openDomains.add(domain);
+      openDomains.add(group);
     }
-    boolean allDomainsContacted = openDomains.containsAll(domainByHost.values());
-    settled |= allDomainsContacted || now - startedAt > options.silenceTimeoutMillis();
+    boolean allGroupsContacted = openDomains.containsAll(groupByHost.values());
+    settled |= allGroupsContacted || now - startedAt > options.silenceTimeoutMillis();
     Map<ShardId, RouteView.ActiveDispatcher> shards = dispatchersByShard();
     return new RouteView(
-        domain, dispatchers, openDomains, settled, shards, liveShards(shards.keySet(), now));
+        group, dispatchers, openDomains, settled, shards, liveShards(shards.keySet(), now));
   }
 
   private Set<ShardId> liveShards(Set<ShardId> claimed, long now) {
--- a/burdockbay-core/src/main/java/org/burdockbay/core/membership/MembershipOptions.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/membership/MembershipOptions.java
@@ -49,13 +49,14 @@
    *
    * @param ipv4 address in dotted decimal notation
    */
-  public static MembershipOptions ofAddress(String ipv4, long lostMillis, boolean mayDispatch) {
+  public static MembershipOptions ofAddress(
+      String ipv4, long silenceTimeoutMillis, boolean mayDispatch) {
     long number = 0;
     for (String part : ipv4.split("\\.", -1)) {
       number = (number << 8 | Long.parseLong(part)) & ((1L << ADDRESS_BITS) - 1);
     }
     return new MembershipOptions(
-        lostMillis, mayDispatch, ADDRESS_BITS, number, MILLIS_PER_SECOND, FIRST_ROUND_AT);
+        silenceTimeoutMillis, mayDispatch, ADDRESS_BITS, number, MILLIS_PER_SECOND, FIRST_ROUND_AT);
   }
 
   /** Returns the round at a time in milliseconds since the Unix epoch. */
--- a/burdockbay-core/src/test/java/org/burdockbay/core/agreement/RaftNodeTest.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/agreement/RaftNodeTest.java
@@ -100,22 +100,23 @@
   @Test
   public void lengthensElectionTimeoutsWhileNoLeaderIsKnown() {
     RaftNode member = new RaftNode(A, RecoveredLog.bootstrap(GROUP), TIMING, 1, 0);
-    List<Long> campaigns = new ArrayList<>();
+    List<Long> electionStarts = new ArrayList<>();
     for (long time = 1; time <= AFTER_ELECTION_TIMEOUT; time++) {
-      boolean campaigned =
+      boolean electionStarted =
           member.tick(time).stream()
               .anyMatch(
                   effect ->
                       effect instanceof RaftEffect.Send send
                           && send.message() instanceof RaftMessage.VoteRequest);
-      if (campaigned) {
-        campaigns.add(time);
+      if (electionStarted) {
+        electionStarts.add(time);
       }
     }
     assertTrue(
-        campaigns.getFirst() <= 2 * TIMING.initialElectionTimeoutMillis(), campaigns.toString());
-    long lastPause = campaigns.getLast() - campaigns.get(campaigns.size() - 2);
-    assertTrue(lastPause >= TIMING.electionTimeoutMillis(), campaigns.toString());
+        electionStarts.getFirst() <= 2 * TIMING.initialElectionTimeoutMillis(),
+        electionStarts.toString());
+    long lastInterval = electionStarts.getLast() - electionStarts.get(electionStarts.size() - 2);
+    assertTrue(lastInterval >= TIMING.electionTimeoutMillis(), electionStarts.toString());
   }
 
   /**
@@ -282,10 +283,10 @@
   private static void elect(RaftNode node) {
     node.tick(AFTER_ELECTION_TIMEOUT);
     long next = node.term() + 1;
-    List<RaftEffect> campaign =
+    List<RaftEffect> electionEffects =
         node.receive(new RaftMessage.VoteReply(B, A, next, true, true), AFTER_ELECTION_TIMEOUT);
     node.receive(new RaftMessage.VoteReply(B, A, next, true, false), AFTER_ELECTION_TIMEOUT);
-    node.persisted(ticketOf(campaign), AFTER_ELECTION_TIMEOUT);
+    node.persisted(ticketOf(electionEffects), AFTER_ELECTION_TIMEOUT);
     assertEquals(node.role(), RaftRole.LEADER);
   }
 
--- a/burdockbay-core/src/test/java/org/burdockbay/core/catalog/CatalogDownloadTest.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/catalog/CatalogDownloadTest.java
@@ -97,9 +97,9 @@
     CatalogPart part = source.servePart("a", first, 0).orElseThrow();
     assertTrue(download.handlePart(part, 1) instanceof CatalogDownload.Result.Continue);
     assertTrue(download.handleAnnouncement(1, CatalogDownload.PART_TIMEOUT_MILLIS).isEmpty());
-    CatalogPart.Request again =
+    CatalogPart.Request resumed =
         download.handleAnnouncement(1, CatalogDownload.PART_TIMEOUT_MILLIS + 1).orElseThrow();
-    assertEquals(again.offset(), CatalogSource.PART_BYTES);
+    assertEquals(resumed.offset(), CatalogSource.PART_BYTES);
   }
 
   /** Guards against putting a corrupt or truncated catalog in force. */
@@ -121,10 +121,12 @@
 
   private void assertInForce(long version, double publishedAt) {
     model.runUntil(publishedAt + IN_FORCE_TIMEOUT_MILLIS);
-    long late = entryHosts.stream().filter(host -> host.version() < version).count();
+    long missing = entryHosts.stream().filter(host -> host.version() < version).count();
     double last = entryHosts.stream().mapToDouble(host -> host.inForceAt).max().orElseThrow();
     assertEquals(
-        late, 0, "hosts without the catalog; last in force after " + (last - publishedAt) + " ms");
+        missing,
+        0,
+        "hosts without the catalog; last in force after " + (last - publishedAt) + " ms");
     assertNoHostIsLost();
   }
 
--- a/burdockbay-core/src/test/java/org/burdockbay/core/membership/MembershipTest.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/membership/MembershipTest.java
@@ -185,8 +185,8 @@
    */
   @Test
   public void claimsNothingBeforeOtherHostsCanBeContacted() {
-    MembershipOptions terms = MembershipOptions.ofAddress("10.0.0.1", 450, true);
-    Membership restarted = Membership.withDiscovery("10.0.0.1", "entry", terms, 0);
+    MembershipOptions options = MembershipOptions.ofAddress("10.0.0.1", 450, true);
+    Membership restarted = Membership.withDiscovery("10.0.0.1", "entry", options, 0);
     restarted.addHost("10.0.0.2", "entry", 0);
     restarted.addHost("10.0.0.3", "entry", 0);
     assertTrue(claims(restarted.tick(1_000)).isEmpty(), "no host contacted yet");
@@ -206,8 +206,8 @@
    */
   @Test
   public void claimsEarlyOnceEveryKnownHostIsContacted() {
-    MembershipOptions terms = MembershipOptions.ofAddress("10.0.0.1", 450, true);
-    Membership restarted = Membership.withDiscovery("10.0.0.1", "entry", terms, 0);
+    MembershipOptions options = MembershipOptions.ofAddress("10.0.0.1", 450, true);
+    Membership restarted = Membership.withDiscovery("10.0.0.1", "entry", options, 0);
     restarted.addHost("10.0.0.2", "entry", 50);
     assertTrue(claims(restarted.heartbeat(idle("10.0.0.2"), 100)).isEmpty());
     restarted.addHost("10.0.0.3", "entry", 200);
--- a/burdockbay-core/src/test/java/org/burdockbay/core/membership/ShardRolesTest.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/membership/ShardRolesTest.java
@@ -24,7 +24,7 @@
 public class ShardRolesTest {
 
   private static final long STEP_MILLIS = 25;
-  private static final long HEARTBEAT_MILLIS = 150;
+  private static final long HEARTBEAT_INTERVAL_MILLIS = 150;
   private static final long SILENCE_TIMEOUT_MILLIS = 450;
   private static final ShardLayout TWO_SHARDS = new ShardLayout(2);
 
@@ -70,7 +70,7 @@
   @Test
   public void claimsEveryShardWithDifferentHostsInOneRound() {
     growLayout("10.0.5.1", TWO_SHARDS);
-    advanceTime(2 * HEARTBEAT_MILLIS);
+    advanceTime(2 * HEARTBEAT_INTERVAL_MILLIS);
     assertAllShardsServed(TWO_SHARDS);
   }
 
@@ -150,10 +150,11 @@
     assertAllShardsServed(new ShardLayout(4));
     ShardId shard = new ShardId("west", 2);
     stop(dispatchers().get(shard).host());
-    advanceTime(SILENCE_TIMEOUT_MILLIS + Membership.VACANCY_GRACE_MILLIS - HEARTBEAT_MILLIS);
+    advanceTime(
+        SILENCE_TIMEOUT_MILLIS + Membership.VACANCY_GRACE_MILLIS - HEARTBEAT_INTERVAL_MILLIS);
     assertEquals(
         collectFromAllHosts(host -> host.routes().liveShards().contains(shard)), Set.of(true));
-    advanceTime(2 * HEARTBEAT_MILLIS + STEP_MILLIS);
+    advanceTime(2 * HEARTBEAT_INTERVAL_MILLIS + STEP_MILLIS);
     assertEquals(
         collectFromAllHosts(host -> host.routes().liveShards().contains(shard)), Set.of(false));
     assertEquals(dispatchers().size(), 11);
@@ -226,7 +227,7 @@
             now);
     hosts.keySet().forEach(host -> membership.addHost(host, "entry", now));
     for (int i = 0; i < 10; i++) {
-      advanceTime(HEARTBEAT_MILLIS);
+      advanceTime(HEARTBEAT_INTERVAL_MILLIS);
       hosts.keySet().stream()
           .filter(host -> !host.equals(uncontacted.host()))
           .forEach(host -> membership.heartbeat(status(host, hosts.get(host)), now));
@@ -245,7 +246,7 @@
     ShardId shard = new ShardId("east", 0);
     String stopping = dispatchers().get(shard).host();
     hosts.get(stopping).drain(now);
-    advanceTime(2 * HEARTBEAT_MILLIS);
+    advanceTime(2 * HEARTBEAT_INTERVAL_MILLIS);
     assertNotEquals(dispatchers().get(shard).host(), stopping);
     assertEquals(domains.get(dispatchers().get(shard).host()), "east");
   }
@@ -323,7 +324,7 @@
     for (long end = now + millis; now < end; ) {
       now += STEP_MILLIS;
       hosts.forEach((host, membership) -> countRouteChanges(host, membership.tick(now)));
-      if (now % HEARTBEAT_MILLIS == 0) {
+      if (now % HEARTBEAT_INTERVAL_MILLIS == 0) {
         List<HostStatus> statuses =
             hosts.keySet().stream().map(host -> status(host, hosts.get(host))).toList();
         statuses.forEach(this::deliver);
@@ -341,9 +342,9 @@
   }
 
   private boolean reaches(String from, String to) {
-    boolean cut =
+    boolean isSeparated =
         domains.get(from).equals(partitionedDomain) != domains.get(to).equals(partitionedDomain);
-    return !cut && !silent.contains(from) && !silent.contains(to);
+    return !isSeparated && !silent.contains(from) && !silent.contains(to);
   }
 
   private void countRouteChanges(String host, Collection<MembershipEffect> effects) {
