--- a/burdockbay-core/src/main/java/org/burdockbay/core/agreement/EntryContent.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/agreement/EntryContent.java
@@ -6,7 +6,7 @@
   /** No operation. A new leader appends it to commit entries of earlier terms. */
   record Noop() implements EntryContent {}
 
-  /** Command to the state machine. */
+  /** Command for the state machine. */
   record Command(Bytes data) implements EntryContent {}
 
   /** Change of the group's members, effective from this entry on. */
--- a/burdockbay-core/src/main/java/org/burdockbay/core/catalog/CatalogSource.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/catalog/CatalogSource.java
@@ -9,7 +9,7 @@
 /**
  * Serves parts of the most recent catalogs of this host to other hosts.
  *
- * <p>Previous versions are kept so that downloads in progress can complete. The number of
+ * <p>Previous versions are retained so that downloads in progress can complete. The number of
  * concurrent receivers is limited, because the parts share this host's link with its heartbeats.
  * Other hosts get a busy reply and retry, also at hosts that have completed their download by then.
  */
@@ -58,7 +58,7 @@
 
   /**
    * Returns the requested part, or the first part of the newest version if the requested version
-   * isn't kept.
+   * isn't retained.
    *
    * @return the part, without data if the limit on receivers is reached; empty if there is no
    *     catalog
--- a/burdockbay-core/src/main/java/org/burdockbay/core/catalog/QueueRule.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/catalog/QueueRule.java
@@ -9,8 +9,8 @@
  * @param service service whose upstreams run the tasks
  * @param priority priority class; 0 is the highest
  * @param maxAttempts number of failed attempts after which a task fails
- * @param stretch factor on the duration of the longest chain of steps in the latency target
- * @param targetMillis constant part of the latency target, in milliseconds
+ * @param stretch factor on the duration of the longest chain of steps, for the latency target
+ * @param targetMillis time added to that product, in milliseconds
  * @param timeoutMillis time after which a request times out, in milliseconds
  * @param restricted whether an external service decides which upstreams may run a step
  */
--- a/burdockbay-core/src/main/java/org/burdockbay/core/clock/Clock.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/clock/Clock.java
@@ -16,8 +16,8 @@
    * Returns a clock that reads the wall time once and then advances with the monotonic timer.
    *
    * <p>A step of the wall clock while the process runs, by an operator or a time daemon, would
-   * otherwise expire all leases at once or keep leases of lost hosts valid. The monotonic timer is
-   * not affected by such steps.
+   * otherwise expire all leases immediately or keep leases of lost hosts valid. The monotonic timer
+   * is not affected by such steps.
    */
   static Clock monotonic() {
     long wallMillis = System.currentTimeMillis();
--- a/burdockbay-core/src/main/java/org/burdockbay/core/ledger/Ledger.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/ledger/Ledger.java
@@ -160,8 +160,8 @@
     boolean openHere =
         reply instanceof LedgerReply.OpenElsewhere elsewhere
             && elsewhere.domain().equals(domain.name);
-    // A grant doesn't tell whether the submission is new or already open. The dispatcher can tell:
-    // it has its own open jobs in memory and received those of earlier epochs when it registered.
+    // A grant doesn't distinguish new submissions from those already open. The dispatcher does: it
+    // has its own open jobs in memory and received those of earlier epochs when it registered.
     return openHere ? new LedgerReply.Granted() : reply;
   }
 
--- a/burdockbay-core/src/main/java/org/burdockbay/core/ledger/LedgerImage.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/ledger/LedgerImage.java
@@ -9,7 +9,7 @@
 /**
  * A copy of the complete state of a {@link Ledger}, as stored in snapshots.
  *
- * @param domains failure domains that have sent commands, by name
+ * @param domains failure domains that have sent commands, sorted by name
  * @param records open submissions in the order of opening, then closed ones in that of closing
  */
 public record LedgerImage(List<DomainRecord> domains, List<SubmissionRecord> records) {
--- a/burdockbay-core/src/main/java/org/burdockbay/core/membership/Membership.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/membership/Membership.java
@@ -126,7 +126,7 @@
    * Creates the membership of a host in a fixed list of hosts.
    *
    * @param self id of this host
-   * @param groupByHost failure domains of all hosts, including this one
+   * @param groupByHost groups of all hosts, including this one; each failure domain is a group
    * @param now time of the start, in milliseconds
    */
   public Membership(String self, Map<String, String> groupByHost, long now) {
@@ -267,7 +267,7 @@
     return effects;
   }
 
-  /** Returns whether this host's view can change only through another host's change. */
+  /** Returns whether this host's view changes only when the status of another host changes. */
   private boolean isStable() {
     boolean nothingToClaim =
         claimedEpoch != 0
@@ -326,7 +326,7 @@
   }
 
   /**
-   * Resets the settle time after a process pause, as the state of other hosts is out of date.
+   * Resets the settle time after a process pause, as the recorded state of other hosts is outdated.
    *
    * <p>Gives up a claim; another one is made only after the settle time.
    */
--- a/burdockbay-core/src/main/java/org/burdockbay/core/membership/RouteView.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/membership/RouteView.java
@@ -8,10 +8,13 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * View of one host on the dispatchers of all reachable failure domains and shards.
+ * View of one host on the dispatchers of all reachable domains and shards.
  *
- * @param domain failure domain of this host
- * @param dispatchers dispatchers by failure domain
+ * <p>A domain is here a group of hosts that elect dispatchers among themselves. It is a failure
+ * domain if the hosts are a fixed list, and may contain several failure domains otherwise.
+ *
+ * @param domain domain of this host
+ * @param dispatchers dispatchers by domain
  * @param openDomains domains with a live host that isn't stopping; each has a dispatcher or is
  *     about to elect one
  * @param settled whether every domain has been contacted or the silence timeout has passed since
--- a/burdockbay-core/src/main/java/org/burdockbay/core/membership/ShardVacancies.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/membership/ShardVacancies.java
@@ -60,7 +60,7 @@
     return hasPending;
   }
 
-  /** Forgets all vacancies, because the layout has changed. */
+  /** Discards all vacancies; called when the layout changes. */
   void clear() {
     vacantSince.clear();
     previouslyClaimed = Set.of();
--- a/burdockbay-core/src/main/java/org/burdockbay/core/message/PeerMessage.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/message/PeerMessage.java
@@ -83,7 +83,7 @@
   /** Redirects a waiting host to the failure domain that holds the submission. */
   record RedirectJob(SubmissionKey key, String domain) implements PeerMessage {}
 
-  /** Returns a job to a waiting host. */
+  /** Returns a job to a waiting host, which routes it again. */
   record ReturnJob(SubmissionKey key) implements PeerMessage {}
 
   /**
