--- a/burdockbay-core/src/test/java/org/burdockbay/core/membership/MembershipTest.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/membership/MembershipTest.java
@@ -145,7 +145,7 @@
     assertTrue(alone.routes().settled());
   }
 
-  /** A domain whose hosts are all stopping would still receive new keys. */
+  /** Guards against a domain that receives new keys although all its hosts are stopping. */
   @Test
   public void opensOnlyDomainsWithNonDrainingHosts() {
     heartbeat("c", 8, 1, false);
--- a/burdockbay-core/src/test/java/org/burdockbay/core/membership/ShardRolesTest.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/membership/ShardRolesTest.java
@@ -53,7 +53,7 @@
     advanceTime(3_000);
   }
 
-  /** A small fleet must not be divided, because a single pool of upstreams handles bursts best. */
+  /** Guards against dividing a small fleet, whose single pool of upstreams handles bursts best. */
   @Test
   public void keepsOneDispatcherWhileTheFleetIsSmall() {
     assertEquals(dispatchers().keySet(), Set.of(ShardId.WHOLE_FLEET));
@@ -66,7 +66,7 @@
         Set.of(Set.of(ShardId.WHOLE_FLEET)));
   }
 
-  /** One host would dispatch two shards, or a shard would wait for a second round of claims. */
+  /** Guards against a host that claims two shards and a shard that needs two rounds of claims. */
   @Test
   public void claimsEveryShardWithDifferentHostsInOneRound() {
     growLayout("10.0.5.1", TWO_SHARDS);
@@ -74,7 +74,7 @@
     assertAllShardsServed(TWO_SHARDS);
   }
 
-  /** Hosts with different layouts would call the same upstream under two tokens. */
+  /** Guards against hosts with different layouts, which call the same upstream with two tokens. */
   @Test
   public void convergesToTheSameLayoutOnAllHosts() {
     partitionedDomain = "west";
@@ -88,7 +88,7 @@
     assertAllShardsServed(new ShardLayout(3));
   }
 
-  /** Existing shards would lose their dispatchers when the layout grows. */
+  /** Guards against existing shards that lose their dispatchers when the layout grows. */
   @Test
   public void keepsDispatchersOfExistingShardsWhenTheLayoutGrows() {
     growLayout("10.0.5.1", TWO_SHARDS);
@@ -121,8 +121,8 @@
   }
 
   /**
-   * The shard of a lost host would lose its upstreams before another host of the domain takes it
-   * over.
+   * Guards against a shard of a lost host that loses its upstreams before another host of the
+   * domain takes it over.
    */
   @Test
   public void takesOverTheShardOfLostHosts() {
@@ -142,7 +142,7 @@
     assertAllShardsServed(TWO_SHARDS);
   }
 
-  /** Upstreams of a shard that no host can take over would remain without a dispatcher. */
+  /** Guards against upstreams without a dispatcher if no host can take over their shard. */
   @Test
   public void dropsVacantShardsOfDomainsWithTooFewHosts() {
     growLayout("10.0.5.1", new ShardLayout(4));
@@ -161,8 +161,8 @@
   }
 
   /**
-   * After a restart of all hosts, a single host would claim a fleet that is too large for one
-   * dispatcher.
+   * Guards against an undivided fleet after a restart of all hosts: a single host would claim a
+   * fleet that is too large for one dispatcher.
    */
   @Test
   public void keepsTheLayoutWhenAllHostsRestart() {
@@ -185,8 +185,8 @@
   }
 
   /**
-   * Dispatchers of a partitioned domain would be superseded, and their shards reassigned once the
-   * partition ends.
+   * Guards against superseding the dispatchers of a partitioned domain, whose shards are then
+   * reassigned once the partition ends.
    */
   @Test
   public void doesNotReassignShardsOfPartitionedDomains() {
@@ -205,8 +205,8 @@
   }
 
   /**
-   * A host that has just started would take over a shard from a dispatcher that it hasn't contacted
-   * yet.
+   * Guards against a host that has just started and takes over a shard from a dispatcher that it
+   * hasn't contacted yet.
    */
   @Test
   public void claimsNoShardBeforeItsDispatcherCanBeContacted() {
@@ -236,9 +236,7 @@
     }
   }
 
-  /**
-   * After a planned stop, the shard would remain without a dispatcher until the silence timeout.
-   */
+  /** Guards against a shard without a dispatcher until the silence timeout after a planned stop. */
   @Test
   public void handsShardsOverWithinTheirDomain() {
     growLayout("10.0.5.1", TWO_SHARDS);
@@ -252,8 +250,8 @@
   }
 
   /**
-   * Upstreams that come from another shard, with a higher epoch, would cause each shard to be
-   * reassigned once.
+   * Guards against reassigning each shard once because upstreams come from another shard with a
+   * higher epoch.
    */
   @Test
   public void keepsShardsOfHostsWhoseClaimsAreSuperseded() {
@@ -273,7 +271,7 @@
     assertAllShardsServed(TWO_SHARDS);
   }
 
-  /** Each change of the routes makes every host re-evaluate all of its work. */
+  /** Guards against reporting unchanged routes, which makes every host re-evaluate all its work. */
   @Test
   public void reportsNoNewRoutesWhenOnlyLoadsChange() {
     growLayout("10.0.5.1", TWO_SHARDS);
