--- a/burdockbay-core/src/test/java/org/burdockbay/core/membership/ShardRolesTest.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/membership/ShardRolesTest.java
@@ -24,7 +24,7 @@
 public class ShardRolesTest {
 
   private static final long STEP_MILLIS = 25;
-  private static final long HEARTBEAT_MILLIS = 150;
+  private static final long HEARTBEAT_INTERVAL_MILLIS = 150;
   private static final long SILENCE_TIMEOUT_MILLIS = 450;
   private static final ShardLayout TWO_SHARDS = new ShardLayout(2);
 
@@ -53,7 +53,7 @@
     advanceTime(3_000);
   }
 
-  /** A small fleet must not be divided, because a single pool of upstreams handles bursts best. */
+  /** Guards against dividing a small fleet, whose single pool of upstreams handles bursts best. */
   @Test
   public void keepsOneDispatcherWhileTheFleetIsSmall() {
     assertEquals(dispatchers().keySet(), Set.of(ShardId.WHOLE_FLEET));
@@ -66,15 +66,15 @@
         Set.of(Set.of(ShardId.WHOLE_FLEET)));
   }
 
-  /** One host would dispatch two shards, or a shard would wait for a second round of claims. */
+  /** Guards against a host that claims two shards and a shard that needs two rounds of claims. */
   @Test
   public void claimsEveryShardWithDifferentHostsInOneRound() {
     growLayout("10.0.5.1", TWO_SHARDS);
-    advanceTime(2 * HEARTBEAT_MILLIS);
+    advanceTime(2 * HEARTBEAT_INTERVAL_MILLIS);
     assertAllShardsServed(TWO_SHARDS);
   }
 
-  /** Hosts with different layouts would call the same upstream under two tokens. */
+  /** Guards against hosts with different layouts, which call the same upstream with two tokens. */
   @Test
   public void convergesToTheSameLayoutOnAllHosts() {
     partitionedDomain = "west";
@@ -88,7 +88,7 @@
     assertAllShardsServed(new ShardLayout(3));
   }
 
-  /** Existing shards would lose their dispatchers when the layout grows. */
+  /** Guards against existing shards that lose their dispatchers when the layout grows. */
   @Test
   public void keepsDispatchersOfExistingShardsWhenTheLayoutGrows() {
     growLayout("10.0.5.1", TWO_SHARDS);
@@ -121,8 +121,8 @@
   }
 
   /**
-   * The shard of a lost host would lose its upstreams before another host of the domain takes it
-   * over.
+   * Guards against a shard of a lost host that loses its upstreams before another host of the
+   * domain takes it over.
    */
   @Test
   public void takesOverTheShardOfLostHosts() {
@@ -142,7 +142,7 @@
     assertAllShardsServed(TWO_SHARDS);
   }
 
-  /** Upstreams of a shard that no host can take over would remain without a dispatcher. */
+  /** Guards against upstreams without a dispatcher if no host can take over their shard. */
   @Test
   public void dropsVacantShardsOfDomainsWithTooFewHosts() {
     growLayout("10.0.5.1", new ShardLayout(4));
@@ -150,18 +150,19 @@
     assertAllShardsServed(new ShardLayout(4));
     ShardId shard = new ShardId("west", 2);
     stop(dispatchers().get(shard).host());
-    advanceTime(SILENCE_TIMEOUT_MILLIS + Membership.VACANCY_GRACE_MILLIS - HEARTBEAT_MILLIS);
+    advanceTime(
+        SILENCE_TIMEOUT_MILLIS + Membership.VACANCY_GRACE_MILLIS - HEARTBEAT_INTERVAL_MILLIS);
     assertEquals(
         collectFromAllHosts(host -> host.routes().liveShards().contains(shard)), Set.of(true));
-    advanceTime(2 * HEARTBEAT_MILLIS + STEP_MILLIS);
+    advanceTime(2 * HEARTBEAT_INTERVAL_MILLIS + STEP_MILLIS);
     assertEquals(
         collectFromAllHosts(host -> host.routes().liveShards().contains(shard)), Set.of(false));
     assertEquals(dispatchers().size(), 11);
   }
 
   /**
-   * After a restart of all hosts, a single host would claim a fleet that is too large for one
-   * dispatcher.
+   * Guards against an undivided fleet after a restart of all hosts: a single host would claim a
+   * fleet that is too large for one dispatcher.
    */
   @Test
   public void keepsTheLayoutWhenAllHostsRestart() {
@@ -184,8 +185,8 @@
   }
 
   /**
-   * Dispatchers of a partitioned domain would be superseded, and their shards reassigned once the
-   * partition ends.
+   * Guards against superseding the dispatchers of a partitioned domain, whose shards are then
+   * reassigned once the partition ends.
    */
   @Test
   public void doesNotReassignShardsOfPartitionedDomains() {
@@ -204,8 +205,8 @@
   }
 
   /**
-   * A host that has just started would take over a shard from a dispatcher that it hasn't contacted
-   * yet.
+   * Guards against a host that has just started and takes over a shard from a dispatcher that it
+   * hasn't contacted yet.
    */
   @Test
   public void claimsNoShardBeforeItsDispatcherCanBeContacted() {
@@ -226,7 +227,7 @@
             now);
     hosts.keySet().forEach(host -> membership.addHost(host, "entry", now));
     for (int i = 0; i < 10; i++) {
-      advanceTime(HEARTBEAT_MILLIS);
+      advanceTime(HEARTBEAT_INTERVAL_MILLIS);
       hosts.keySet().stream()
           .filter(host -> !host.equals(uncontacted.host()))
           .forEach(host -> membership.heartbeat(status(host, hosts.get(host)), now));
@@ -235,9 +236,7 @@
     }
   }
 
-  /**
-   * After a planned stop, the shard would remain without a dispatcher until the silence timeout.
-   */
+  /** Guards against a shard without a dispatcher until the silence timeout after a planned stop. */
   @Test
   public void handsShardsOverWithinTheirDomain() {
     growLayout("10.0.5.1", TWO_SHARDS);
@@ -245,14 +244,14 @@
     ShardId shard = new ShardId("east", 0);
     String stopping = dispatchers().get(shard).host();
     hosts.get(stopping).drain(now);
-    advanceTime(2 * HEARTBEAT_MILLIS);
+    advanceTime(2 * HEARTBEAT_INTERVAL_MILLIS);
     assertNotEquals(dispatchers().get(shard).host(), stopping);
     assertEquals(domains.get(dispatchers().get(shard).host()), "east");
   }
 
   /**
-   * Upstreams that come from another shard, with a higher epoch, would cause each shard to be
-   * reassigned once.
+   * Guards against reassigning each shard once because upstreams come from another shard with a
+   * higher epoch.
    */
   @Test
   public void keepsShardsOfHostsWhoseClaimsAreSuperseded() {
@@ -272,7 +271,7 @@
     assertAllShardsServed(TWO_SHARDS);
   }
 
-  /** Each change of the routes makes every host re-evaluate all of its work. */
+  /** Guards against reporting unchanged routes, which makes every host re-evaluate all its work. */
   @Test
   public void reportsNoNewRoutesWhenOnlyLoadsChange() {
     growLayout("10.0.5.1", TWO_SHARDS);
@@ -323,7 +322,7 @@
     for (long end = now + millis; now < end; ) {
       now += STEP_MILLIS;
       hosts.forEach((host, membership) -> countRouteChanges(host, membership.tick(now)));
-      if (now % HEARTBEAT_MILLIS == 0) {
+      if (now % HEARTBEAT_INTERVAL_MILLIS == 0) {
         List<HostStatus> statuses =
             hosts.keySet().stream().map(host -> status(host, hosts.get(host))).toList();
         statuses.forEach(this::deliver);
@@ -341,9 +340,9 @@
   }
 
   private boolean reaches(String from, String to) {
-    boolean cut =
+    boolean isSeparated =
         domains.get(from).equals(partitionedDomain) != domains.get(to).equals(partitionedDomain);
-    return !cut && !silent.contains(from) && !silent.contains(to);
+    return !isSeparated && !silent.contains(from) && !silent.contains(to);
   }
 
   private void countRouteChanges(String host, Collection<MembershipEffect> effects) {
