--- a/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/Dispatcher.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/Dispatcher.java
@@ -100,7 +100,7 @@
       case DispatchEvent.JobSubmitted submitted -> jobs.submit(submitted);
       case DispatchEvent.JobFollowed followed -> jobs.follow(followed);
       case DispatchEvent.JobCancelled cancelled -> jobs.cancel(cancelled);
-      case DispatchEvent.RunnerFenced inventoried -> runnerFenced(inventoried);
+      case DispatchEvent.RunnerFenced fenced -> runnerFenced(fenced);
       case DispatchEvent.AttemptEnded ended ->
           jobs.scheduler().attemptEnded(ended.attempt(), ended.runner(), ended.outcome());
       case DispatchEvent.AttemptQueried queried ->
--- a/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/JobLifecycle.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/JobLifecycle.java
@@ -270,7 +270,7 @@
     Optional<JobOutcome.Failed> refusal = admission.refusal(job.request, job.rule);
     if (!job.isAtMostOnce()) {
       if (refusal.isPresent()) {
-        finish(job, withCertainPromise(job, refusal.get()));
+        finish(job, withProvenGuarantee(job, refusal.get()));
       } else {
         admit(job);
       }
@@ -289,7 +289,7 @@
    * period as long as the retention does the state of this dispatcher cover every earlier
    * submission.
    */
-  private JobOutcome.Failed withCertainPromise(JobEntry job, JobOutcome.Failed refusal) {
+  private JobOutcome.Failed withProvenGuarantee(JobEntry job, JobOutcome.Failed refusal) {
     boolean certain =
         job.isAtMostOnce()
             || !job.mayHaveStarted
@@ -345,7 +345,7 @@
       }
       case LedgerReply.Closed closed -> finish(job, closed.outcome());
       case LedgerReply.OpenElsewhere elsewhere -> redirect(job, elsewhere.domain());
-      case LedgerReply.ContentMismatch other ->
+      case LedgerReply.ContentMismatch mismatch ->
           reportAndRemove(
               job, failed(ErrorKind.KEY_REUSED, "the submission id was used before", 0));
       case LedgerReply.Full full ->
@@ -373,7 +373,7 @@
         openInLedger(job);
       }
       case LedgerReply.OpenElsewhere elsewhere -> redirect(job, elsewhere.domain());
-      case LedgerReply.ContentMismatch other ->
+      case LedgerReply.ContentMismatch mismatch ->
           reportAndRemove(
               job, failed(ErrorKind.KEY_REUSED, "the submission id was used before", 0));
       case LedgerReply.Unknown unknown when job.refusal != null ->
@@ -498,7 +498,7 @@
       String detail =
           job.started ? "the deadline passed while tasks ran" : "the deadline passed in the queue";
       long retryAfter = job.started ? 0 : scheduler.predictedWaitMillis() + 1;
-      settle(job, withCertainPromise(job, failed(kind, detail, retryAfter)));
+      settle(job, withProvenGuarantee(job, failed(kind, detail, retryAfter)));
     } else if (job.isInState("opening") || job.isInState("checking")) {
       reportAndRemove(job, ledgerUnavailable());
     } else if (job.isInState("held")) {
--- a/burdockbay-core/src/test/java/org/burdockbay/core/dispatch/DispatchFuzzTest.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/dispatch/DispatchFuzzTest.java
@@ -88,9 +88,9 @@
   private static void injectFault(DispatchModel model, int action, int number) {
     if (action < 87) {
       model.mayRepeatIdempotentTasks = true;
-      model.host(number).frozen = true;
+      model.host(number).paused = true;
     } else if (action < 91) {
-      model.host(number).frozen = false;
+      model.host(number).paused = false;
     } else if (action < 93) {
       model.crash(number);
     } else if (action < 95) {
--- a/burdockbay-core/src/test/java/org/burdockbay/core/dispatch/DispatchModel.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/dispatch/DispatchModel.java
@@ -86,8 +86,8 @@
   /** Whether heartbeats and announcements are always delivered in time. */
   private final boolean reliableAnnouncements;
 
-  DispatchModel(boolean quiet) {
-    this.reliableAnnouncements = quiet;
+  DispatchModel(boolean reliableAnnouncements) {
+    this.reliableAnnouncements = reliableAnnouncements;
     DispatchConfiguration configuration;
     try {
       configuration = DispatchConfiguration.parse("model", 1, CONFIGURATION);
@@ -140,10 +140,10 @@
     }
   }
 
-  void deliver(int index, boolean keep) {
+  void deliver(int index, boolean duplicate) {
     if (!inFlight.isEmpty()) {
       int at = index % inFlight.size();
-      Runnable item = keep ? inFlight.get(at) : inFlight.remove(at);
+      Runnable item = duplicate ? inFlight.get(at) : inFlight.remove(at);
       item.run();
     }
   }
@@ -247,7 +247,7 @@
   void healAndCheckAnswers() {
     partitioned = false;
     ledgerDown = false;
-    hosts.values().forEach(host -> host.frozen = false);
+    hosts.values().forEach(host -> host.paused = false);
     for (int i = 0; i < hosts.size(); i++) {
       restart(i);
     }
@@ -345,7 +345,7 @@
     inFlight.add(
         () -> {
           boolean separated = partitioned && !from.domain.equals(target.domain);
-          if (target.frozen) {
+          if (target.paused) {
             send(from, to, message);
           } else if (!separated && !target.down && from.incarnation == fromIncarnation) {
             target.receive(from.name, message);
@@ -411,8 +411,8 @@
     if (runner.down || !runner.id().equals(fence.runner())) {
       return;
     }
-    List<AttemptReport> inventory = runner.fence(fence.epoch());
-    if (inventory == null) {
+    List<AttemptReport> attempts = runner.fence(fence.epoch());
+    if (attempts == null) {
       long higher = runner.epoch();
       enqueue(host, () -> host.apply(host.membership.handleHigherEpoch(higher, now)));
     } else {
@@ -420,7 +420,7 @@
           host,
           () ->
               host.dispatch(
-                  new DispatchEvent.RunnerFenced(fence.runner(), fence.epoch(), inventory)));
+                  new DispatchEvent.RunnerFenced(fence.runner(), fence.epoch(), attempts)));
     }
   }
 
@@ -450,7 +450,7 @@
           if (host.incarnation != incarnation || host.down) {
             return;
           }
-          if (host.frozen) {
+          if (host.paused) {
             enqueue(host, item);
           } else {
             item.run();
--- a/burdockbay-core/src/test/java/org/burdockbay/core/dispatch/ModelHost.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/dispatch/ModelHost.java
@@ -19,7 +19,7 @@
   final String name;
   final String domain;
   boolean down;
-  boolean frozen;
+  boolean paused;
   long incarnation;
   Membership membership;
   EntryGateway gateway;
@@ -43,13 +43,13 @@
   }
 
   boolean isRunning() {
-    return !down && !frozen;
+    return !down && !paused;
   }
 
   void restart() {
     incarnation++;
     down = false;
-    frozen = false;
+    paused = false;
     membership = new Membership(name, domainsByHost, model.now());
     gateway = new EntryGateway(domain);
     try {
--- a/burdockbay-wire/src/main/java/org/burdockbay/wire/ControlCodec.java
+++ b/burdockbay-wire/src/main/java/org/burdockbay/wire/ControlCodec.java
@@ -158,7 +158,7 @@
       case LedgerReply.Unknown unknown -> builder.setUnknown(true);
       case LedgerReply.OpenElsewhere elsewhere -> builder.setOpenElsewhere(elsewhere.domain());
       case LedgerReply.Closed closed -> builder.setClosed(SubmissionCodec.encode(closed.outcome()));
-      case LedgerReply.ContentMismatch other -> builder.setOtherContent(true);
+      case LedgerReply.ContentMismatch mismatch -> builder.setOtherContent(true);
       case LedgerReply.Fenced fenced -> builder.setFenced(fenced.epoch());
       case LedgerReply.Full full -> builder.setFull(true);
       case LedgerReply.Unavailable unavailable -> builder.setUnavailable(true);
