--- a/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/AdmissionPolicy.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/AdmissionPolicy.java
@@ -12,7 +12,9 @@
  * Decides whether a job is admitted or refused immediately.
  *
  * <p>The predicted wait is based on measured run times and on the caller's fair share, so a caller
- * that floods the queue is refused because of its own backlog, without affecting other callers.
+ * that floods the queue is refused because of its own backlog, which adds only a fair share to the
+ * predicted wait of the other callers in its priority class. The queue limit of a service applies
+ * to the queue as a whole.
  */
 final class AdmissionPolicy {
 
@@ -95,7 +97,7 @@
 
   /**
    * Returns the delay before a retry, in milliseconds: the time until the excess has drained, plus
-   * a jitter of up to half of it, so that refused callers don't return all at once.
+   * a jitter of up to half of it, so that refused callers don't all retry at the same time.
    */
   private static long retryAfterMillis(JobRequest request, long excessMillis) {
     long base = Math.max(MIN_RETRY_AFTER_MILLIS, excessMillis);
--- a/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/AttemptEntry.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/AttemptEntry.java
@@ -3,7 +3,7 @@
 import org.burdockbay.core.submission.AttemptId;
 import org.jspecify.annotations.Nullable;
 
-/** An attempt that, as far as the dispatcher knows, occupies a slot of a runner. */
+/** An attempt that occupies a slot of a runner, according to the dispatcher's records. */
 final class AttemptEntry {
 
   final AttemptId id;
--- a/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/DispatchRecovery.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/DispatchRecovery.java
@@ -178,8 +178,8 @@
   /**
    * Records the outcome of an attempt that no job has taken over yet.
    *
-   * <p>The job may arrive after its attempt ended. Without the outcome, the runner would appear to
-   * be lost and the task would start again.
+   * <p>The job may arrive after its attempt ended. Without the recorded outcome, the runner would
+   * appear to be lost and the task would start again.
    */
   void attemptEnded(AttemptId attempt, AttemptOutcome outcome) {
     boolean ran =
--- a/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/DispatchState.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/DispatchState.java
@@ -23,8 +23,8 @@
   long epoch;
 
   /**
-   * Time since which the set of failure domains, and with it the home domain of every key, is
-   * unchanged.
+   * Time of the last change to the set of failure domains, which may change the home domain of a
+   * key, or of the grant of the epoch, whichever is later.
    */
   long homeDomainsStableSince;
 
--- a/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/JobLifecycle.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/JobLifecycle.java
@@ -102,9 +102,9 @@
       return;
     }
     jobs.add(job);
-    // The ledger records whether an at-most-once job ran before. For other jobs only the runners
-    // know, so a job that may have reached an earlier dispatcher waits until they have been
-    // queried.
+    // The ledger records whether an at-most-once job ran before. For other jobs, only the runners
+    // have a record, so a job that may have reached an earlier dispatcher waits until they have
+    // listed their attempts.
     job.mayHaveStarted = request.keyed() || event.arrival() == Arrival.RESENT;
     if (mustHold(job)) {
       transition(job, "hold");
@@ -282,12 +282,13 @@
   }
 
   /**
-   * Returns the refusal with a kind that promises no more than is certain.
+   * Replaces a refusal that guarantees that the job didn't run by one without this guarantee,
+   * unless the guarantee is certain.
    *
-   * <p>If failure domains came or went while its key could still be in use, an idempotent job with
-   * a submission id may have run in another domain, or on a runner that is gone. Only after a quiet
-   * period as long as the retention does the state of this dispatcher cover every earlier
-   * submission.
+   * <p>An idempotent job with a submission id may have run in another domain if failure domains
+   * were added or lost while its key could still be in use, or on a runner that has been lost. The
+   * state of this dispatcher covers every earlier submission only once the domains have been
+   * unchanged, and this epoch has lasted, for the retention time.
    */
   private JobOutcome.Failed withProvenGuarantee(JobEntry job, JobOutcome.Failed refusal) {
     boolean certain =
@@ -519,8 +520,8 @@
   }
 
   /**
-   * Reports the outcome of a job and removes the job, as the outcome must not be retained for its
-   * key.
+   * Reports the outcome of a job and removes the job, because the outcome must not be retained for
+   * its key.
    */
   private void reportAndRemove(JobEntry job, JobOutcome outcome) {
     jobs.remove(job);
--- a/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/LedgerRequest.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/LedgerRequest.java
@@ -7,7 +7,7 @@
 /** A request of the {@link Dispatcher} to the ledger. */
 public sealed interface LedgerRequest {
 
-  /** The digest in a lookup that accepts any content. */
+  /** The digest of a lookup that matches any content. */
   String ANY_DIGEST = "";
 
   /** Takes over the failure domain under an epoch; earlier epochs are rejected from then on. */
@@ -16,7 +16,7 @@
   /** Adds a runner to the roster of those that may hold attempts of at-most-once tasks. */
   record AddRunner(long epoch, RunnerId runner) implements LedgerRequest {}
 
-  /** Removes a runner that no longer holds any attempt from the roster. */
+  /** Removes a lost runner from the roster, once no open at-most-once job may have run on it. */
   record RemoveRunner(long epoch, RunnerId runner) implements LedgerRequest {}
 
   /** Records the intent to run a submission, before its first task starts. */
--- a/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/RatioBudget.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/RatioBudget.java
@@ -3,8 +3,8 @@
 /**
  * A budget that limits extra work to a ratio of the regular work.
  *
- * <p>A fixed number of retries per request multiplies the load when everything fails at once. A
- * ratio of the first attempts bounds the extra load in all cases (the retry budget of Finagle).
+ * <p>A fixed number of retries per request multiplies the load when all requests fail. A ratio of
+ * the first attempts bounds the extra load in all cases (the retry budget of Finagle).
  */
 final class RatioBudget {
 
--- a/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/RunnerEntry.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/RunnerEntry.java
@@ -108,7 +108,7 @@
 
   /**
    * Records a rejection: the concurrency limit drops to the number of running attempts, and the
-   * runner gets no work during the pause.
+   * runner gets no tasks during the pause.
    */
   void recordRejection(long now, long pauseMillis) {
     concurrencyLimit = Math.max(1, Math.min(concurrencyLimit, attempts.size()));
--- a/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/RunnerPool.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/RunnerPool.java
@@ -62,9 +62,9 @@
   /**
    * Returns the runner for a task, or null if none has a free slot for it.
    *
-   * <p>A task starts immediately on every free slot, so the runner with the lowest load is
-   * selected, which also limits the number of tasks that are lost with one runner. A runner on
-   * which the task failed before is selected only if no other available runner serves the task.
+   * <p>A task starts immediately on any free slot, so the runner with the lowest load is selected,
+   * which also limits the number of tasks that are lost with one runner. A runner on which the task
+   * failed before is selected only if no other available runner serves the task.
    */
   @Nullable RunnerEntry select(TaskEntry task, @Nullable RunnerEntry avoided, long now) {
     RunnerEntry best = null;
--- a/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/SpillPolicy.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/SpillPolicy.java
@@ -9,7 +9,7 @@
  *
  * <p>Keyed idempotent jobs stay, because the state of the dispatcher in their home domain
  * deduplicates them. At-most-once jobs are deduplicated by the ledger, and jobs without an id can't
- * be resubmitted.
+ * be resubmitted, so both may run in any domain.
  */
 final class SpillPolicy {
 
--- a/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/TaskScheduler.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/TaskScheduler.java
@@ -124,7 +124,7 @@
     RunnerEntry runner = state.pool.find(runnerId).orElse(null);
     AttemptEntry attempt = runner == null ? null : runner.attempts.get(id);
     if (attempt == null) {
-      // The attempt was settled by other means, or its runner is gone.
+      // The attempt was settled by other means, or its runner was lost.
       state.logEvent("attempt-late", "attempt=" + id + " runner=" + runnerId);
       return;
     }
--- a/burdockbay-core/src/main/java/org/burdockbay/core/entry/EntryGateway.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/entry/EntryGateway.java
@@ -139,7 +139,8 @@
   }
 
   /**
-   * Completes the requests that wait for this content, and those that follow or cancel the key.
+   * Completes the requests that wait for this content, and unless the outcome only states that the
+   * key was used with other content, also those that follow or cancel the key.
    *
    * <p>The same id may be in use with other content at another host. Matching by the key alone
    * would answer a request with the outcome of other content.
--- a/burdockbay-core/src/main/java/org/burdockbay/core/runner/AttemptOutcome.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/runner/AttemptOutcome.java
@@ -1,6 +1,6 @@
 package org.burdockbay.core.runner;
 
-/** The outcome of a call that starts an attempt, as far as the dispatcher can tell. */
+/** The outcome of a call that starts an attempt, as far as the dispatcher can determine. */
 public sealed interface AttemptOutcome {
 
   /** The task ran and returned an answer. */
--- a/burdockbay-core/src/main/java/org/burdockbay/core/runner/RunnerAnnouncement.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/runner/RunnerAnnouncement.java
@@ -9,7 +9,7 @@
  * @param address base URL of its attempts API
  * @param services services that it runs
  * @param labels capabilities that it offers, for example an accelerator
- * @param slots number of tasks that it runs at once
+ * @param slots number of tasks that it runs concurrently
  * @param leaving whether it accepts no new work
  */
 public record RunnerAnnouncement(
