--- a/burdockbay-core/src/test/java/org/burdockbay/core/dispatch/DispatchFuzzTest.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/dispatch/DispatchFuzzTest.java
@@ -29,8 +29,8 @@
   /**
    * Hosts and runners crash and restart, hosts are paused and resume as if they still were
    * dispatchers, and domains are partitioned from each other and from the ledger, in any order and
-   * combination. No at-most-once task may start twice or be reported as "not run" after it ran; the
-   * cause would be a gap between ledger, dispatcher and runners.
+   * combination. No at-most-once task may start twice or be reported as "not run" after it ran;
+   * this would reveal a gap in the protocol between ledger, dispatcher and runners.
    */
   @Test
   public void startsNoAtMostOnceTaskTwiceDespiteCrashesAndPartitions() {
--- a/burdockbay-core/src/test/java/org/burdockbay/core/dispatch/DispatchModel.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/dispatch/DispatchModel.java
@@ -24,8 +24,8 @@
 
 /**
  * Models four hosts in two failure domains, their runners, callers that resubmit, and a ledger, in
- * one thread. Messages and calls under way are in {@link #inFlight}, from which they are delivered,
- * lost or duplicated.
+ * one thread. Messages and calls in progress are in {@link #inFlight}, from which they are
+ * delivered, lost or duplicated.
  *
  * <p>The invariants are checked in {@link #recordStart} and {@link #recordAnswer}.
  */
@@ -111,7 +111,9 @@
     return now;
   }
 
-  /** Advances the time for every host and runner that is neither down nor frozen. */
+  /**
+   * Advances the time for every host that is neither down nor paused, and every runner that is up.
+   */
   void advance(int millis) {
     now += millis;
     runners.forEach(ModelRunner::tick);
@@ -148,7 +150,7 @@
     }
   }
 
-  /** Drops a message; the connection that carried it is reset, of which both ends are notified. */
+  /** Drops a message, and notifies every host that its connections to all hosts were reset. */
   void dropMessage(int index) {
     if (!inFlight.isEmpty()) {
       inFlight.remove(index % inFlight.size());
--- a/burdockbay-core/src/test/java/org/burdockbay/core/dispatch/DispatcherTest.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/dispatch/DispatcherTest.java
@@ -25,7 +25,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Tests single failures of one dispatcher; each test guards a row in docs/PROOFS.md. */
+/** Tests single failures of one dispatcher; each test covers a row of docs/PROOFS.md. */
 public class DispatcherTest {
 
   private static final String CONFIGURATION =
@@ -130,7 +130,7 @@
 
   /**
    * The ledger has no quorum because the domain is partitioned. An at-most-once job must be refused
-   * at once with a kind that doesn't claim "not run", while idempotent jobs are served.
+   * immediately with a kind that doesn't claim "not run", while idempotent jobs are served.
    */
   @Test
   public void refusesAtMostOnceJobsAndServesOthersWithoutQuorum() {
@@ -240,7 +240,7 @@
 
   /**
    * A dispatcher is paused, another one takes over, and the first resumes and starts its queued
-   * tasks. A runner rejects a start with the higher epoch; the dispatcher must step down.
+   * tasks. A runner rejects a start and returns the higher epoch; the dispatcher must step down.
    */
   @Test
   public void stepsDownWhenFenced() {
@@ -250,8 +250,8 @@
   }
 
   /**
-   * An attempt of an earlier dispatcher ended before its job was sent again. Its result was dropped
-   * and the task started a second time.
+   * An attempt of an earlier dispatcher ends before its job is sent again. If its result is
+   * dropped, the task starts a second time.
    */
   @Test
   public void retainsResultsOfOrphanedAttempts() {
@@ -272,8 +272,8 @@
   }
 
   /**
-   * A dispatcher is lost with an open at-most-once job, and one of its runners is gone too. The
-   * successor can't tell whether the job ran there, so it must not start the job.
+   * A dispatcher is lost with an open at-most-once job, and one of its runners is lost too. The
+   * successor can't determine whether the job ran there, so it must not start the job.
    */
   @Test
   public void neverRestartsAtMostOnceTasksThatLostRunnersMayHaveRun() {
@@ -320,7 +320,7 @@
         "the light caller is served within two starts");
   }
 
-  /** A job that can't meet its deadline is refused at once, with a retry delay. */
+  /** A job that can't meet its deadline is refused immediately, with a retry delay. */
   @Test
   public void refusesJobsThatWouldMissTheirDeadline() {
     for (int i = 0; i < 40; i++) {
@@ -336,8 +336,8 @@
   }
 
   /**
-   * Many jobs are cancelled at once. Waiting tasks must be removed without a message, and running
-   * ones cancelled with one message to each runner.
+   * Many jobs are cancelled at the same time. Waiting tasks must be removed without a message, and
+   * running ones cancelled with one message to each runner.
    */
   @Test
   public void cancelsManyJobsWithOneMessagePerRunner() {
--- a/burdockbay-core/src/test/java/org/burdockbay/core/entry/EntryGatewayTest.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/entry/EntryGatewayTest.java
@@ -35,8 +35,8 @@
   }
 
   /**
-   * A cancellation has no deadline, but was answered at once as if its deadline had passed. It must
-   * wait for the outcome that the dispatcher reports.
+   * A cancellation has no deadline, but was once answered immediately, as if its deadline had
+   * passed. It must wait for the outcome that the dispatcher reports.
    */
   @Test
   public void waitsForTheOutcomeOfCancellations() {
