--- a/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/JobLifecycle.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/dispatch/JobLifecycle.java
@@ -102,9 +102,9 @@
       return;
     }
     jobs.add(job);
-    // The ledger records whether an at-most-once job ran before. For other jobs only the runners
-    // know, so a job that may have reached an earlier dispatcher waits until they have been
-    // queried.
+    // The ledger records whether an at-most-once job ran before. For other jobs, only the runners
+    // have a record, so a job that may have reached an earlier dispatcher waits until they have
+    // listed their attempts.
     job.mayHaveStarted = request.keyed() || event.arrival() == Arrival.RESENT;
     if (mustHold(job)) {
       transition(job, "hold");
@@ -270,7 +270,7 @@
     Optional<JobOutcome.Failed> refusal = admission.refusal(job.request, job.rule);
     if (!job.isAtMostOnce()) {
       if (refusal.isPresent()) {
-        finish(job, withCertainPromise(job, refusal.get()));
+        finish(job, withProvenGuarantee(job, refusal.get()));
       } else {
         admit(job);
       }
@@ -282,14 +282,15 @@
   }
 
   /**
-   * Returns the refusal with a kind that promises no more than is certain.
+   * Replaces a refusal that guarantees that the job didn't run by one without this guarantee,
+   * unless the guarantee is certain.
    *
-   * <p>If failure domains came or went while its key could still be in use, an idempotent job with
-   * a submission id may have run in another domain, or on a runner that is gone. Only after a quiet
-   * period as long as the retention does the state of this dispatcher cover every earlier
-   * submission.
+   * <p>An idempotent job with a submission id may have run in another domain if failure domains
+   * were added or lost while its key could still be in use, or on a runner that has been lost. The
+   * state of this dispatcher covers every earlier submission only once the domains have been
+   * unchanged, and this epoch has lasted, for the retention time.
    */
-  private JobOutcome.Failed withCertainPromise(JobEntry job, JobOutcome.Failed refusal) {
+  private JobOutcome.Failed withProvenGuarantee(JobEntry job, JobOutcome.Failed refusal) {
     boolean certain =
         job.isAtMostOnce()
             || !job.mayHaveStarted
@@ -345,7 +346,7 @@
       }
       case LedgerReply.Closed closed -> finish(job, closed.outcome());
       case LedgerReply.OpenElsewhere elsewhere -> redirect(job, elsewhere.domain());
-      case LedgerReply.ContentMismatch other ->
+      case LedgerReply.ContentMismatch mismatch ->
           reportAndRemove(
               job, failed(ErrorKind.KEY_REUSED, "the submission id was used before", 0));
       case LedgerReply.Full full ->
@@ -373,7 +374,7 @@
         openInLedger(job);
       }
       case LedgerReply.OpenElsewhere elsewhere -> redirect(job, elsewhere.domain());
-      case LedgerReply.ContentMismatch other ->
+      case LedgerReply.ContentMismatch mismatch ->
           reportAndRemove(
               job, failed(ErrorKind.KEY_REUSED, "the submission id was used before", 0));
       case LedgerReply.Unknown unknown when job.refusal != null ->
@@ -498,7 +499,7 @@
       String detail =
           job.started ? "the deadline passed while tasks ran" : "the deadline passed in the queue";
       long retryAfter = job.started ? 0 : scheduler.predictedWaitMillis() + 1;
-      settle(job, withCertainPromise(job, failed(kind, detail, retryAfter)));
+      settle(job, withProvenGuarantee(job, failed(kind, detail, retryAfter)));
     } else if (job.isInState("opening") || job.isInState("checking")) {
       reportAndRemove(job, ledgerUnavailable());
     } else if (job.isInState("held")) {
@@ -519,8 +520,8 @@
   }
 
   /**
-   * Reports the outcome of a job and removes the job, as the outcome must not be retained for its
-   * key.
+   * Reports the outcome of a job and removes the job, because the outcome must not be retained for
+   * its key.
    */
   private void reportAndRemove(JobEntry job, JobOutcome outcome) {
     jobs.remove(job);
--- a/burdockbay-core/src/test/java/org/burdockbay/core/dispatch/DispatchFuzzTest.java
+++ b/burdockbay-core/src/test/java/org/burdockbay/core/dispatch/DispatchFuzzTest.java
@@ -29,8 +29,8 @@
   /**
    * Hosts and runners crash and restart, hosts are paused and resume as if they still were
    * dispatchers, and domains are partitioned from each other and from the ledger, in any order and
-   * combination. No at-most-once task may start twice or be reported as "not run" after it ran; the
-   * cause would be a gap between ledger, dispatcher and runners.
+   * combination. No at-most-once task may start twice or be reported as "not run" after it ran;
+   * this would reveal a gap in the protocol between ledger, dispatcher and runners.
    */
   @Test
   public void startsNoAtMostOnceTaskTwiceDespiteCrashesAndPartitions() {
@@ -88,9 +88,9 @@
   private static void injectFault(DispatchModel model, int action, int number) {
     if (action < 87) {
       model.mayRepeatIdempotentTasks = true;
-      model.host(number).frozen = true;
+      model.host(number).paused = true;
     } else if (action < 91) {
-      model.host(number).frozen = false;
+      model.host(number).paused = false;
     } else if (action < 93) {
       model.crash(number);
     } else if (action < 95) {
