--- a/burdockbay-server/src/main/java/org/burdockbay/server/node/NodeController.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/node/NodeController.java
@@ -706,9 +706,9 @@
   }
 
   private PeerMessage.Heartbeat heartbeatFor(String host, HostStatus status) {
-    Optional<Long> silence = directory.lastContactAgeMillis(host, clock.millis());
+    Optional<Long> lastContactAge = directory.lastContactAgeMillis(host, clock.millis());
     return new PeerMessage.Heartbeat(
-        status, silence.map(OptionalLong::of).orElse(OptionalLong.empty()));
+        status, lastContactAge.map(OptionalLong::of).orElse(OptionalLong.empty()));
   }
 
   private HostStatus status() {
--- a/burdockbay-server/src/main/java/org/burdockbay/server/transport/EventLoopMonitor.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/transport/EventLoopMonitor.java
@@ -19,17 +19,17 @@
 
   private final EventExecutor loop;
   private final Clock clock;
-  private final WaitMeter waits;
+  private final WaitMeter waitMeter;
 
-  private EventLoopMonitor(EventExecutor loop, Clock clock, WaitMeter waits) {
+  private EventLoopMonitor(EventExecutor loop, Clock clock, WaitMeter waitMeter) {
     this.loop = loop;
     this.clock = clock;
-    this.waits = waits;
+    this.waitMeter = waitMeter;
   }
 
   /** Starts to measure one of the given loops, until that loop is shut down. */
-  public static void start(EventExecutorGroup loops, Clock clock, WaitMeter waits) {
-    new EventLoopMonitor(loops.next(), clock, waits).scheduleMeasurement();
+  public static void start(EventExecutorGroup loops, Clock clock, WaitMeter waitMeter) {
+    new EventLoopMonitor(loops.next(), clock, waitMeter).scheduleMeasurement();
   }
 
   private void scheduleMeasurement() {
@@ -40,7 +40,7 @@
   private void measure(long dueAt) {
     long now = clock.millis();
     int pendingTasks = loop instanceof SingleThreadEventExecutor single ? single.pendingTasks() : 0;
-    waits.recordWait(Math.max(0, now - dueAt), pendingTasks, now);
+    waitMeter.recordWait(Math.max(0, now - dueAt), pendingTasks, now);
     if (!loop.isShuttingDown()) {
       scheduleMeasurement();
     }
--- a/burdockbay-server/src/main/java/org/burdockbay/server/web/WebClient.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/web/WebClient.java
@@ -111,9 +111,9 @@
   private void startCall(PendingCall pending) {
     pending.meter.callStarted();
     pending.timer =
-        loop.schedule(pending::timedOut, pending.call.timeoutMillis(), TimeUnit.MILLISECONDS);
+        loop.schedule(pending::timedOut, pending.request.timeoutMillis(), TimeUnit.MILLISECONDS);
     Endpoint endpoint =
-        endpoints.computeIfAbsent(pending.call.head().address(), address -> new Endpoint());
+        endpoints.computeIfAbsent(pending.request.head().address(), address -> new Endpoint());
     Connection connection = endpoint.idleConnections.pollLast();
     if (connection != null) {
       connection.send(pending);
@@ -126,7 +126,7 @@
     connectionsByReason.get(endpoint.nextConnectReason).inc();
     endpoint.nextConnectReason = ConnectReason.BUSY;
     bootstrap
-        .connect(pending.call.head().address().toSocketAddress())
+        .connect(pending.request.head().address().toSocketAddress())
         .addListener(
             (ChannelFuture attempt) -> {
               if (!attempt.isSuccess()) {
@@ -166,7 +166,7 @@
   /** A call in flight and the callback for its response. */
   private static final class PendingCall {
 
-    private final WebClientRequest call;
+    private final WebClientRequest request;
     private final CallMeter meter;
     private final Consumer<Optional<WebClientResponse>> callback;
     private @Nullable ScheduledFuture<?> timer;
@@ -175,7 +175,7 @@
 
     PendingCall(
         WebClientRequest request, CallMeter meter, Consumer<Optional<WebClientResponse>> callback) {
-      this.call = request;
+      this.request = request;
       this.meter = meter;
       this.callback = callback;
     }
@@ -236,7 +236,7 @@
     void send(PendingCall next) {
       pendingCall = next;
       next.connection = this;
-      channel().writeAndFlush(next.call.head().encodeRequest(next.call.body()));
+      channel().writeAndFlush(next.request.head().encodeRequest(next.request.body()));
     }
 
     @Override
--- a/burdockbay-server/src/test/java/org/burdockbay/server/host/ControlThreadTest.java
+++ b/burdockbay-server/src/test/java/org/burdockbay/server/host/ControlThreadTest.java
@@ -13,7 +13,7 @@
 /** Tests the order in which {@link ControlThread} runs queued tasks. */
 public class ControlThreadTest {
 
-  private static final long LATE_MILLIS = 2_000;
+  private static final long DELAY_MILLIS = 2_000;
 
   /**
    * Guards against a delayed host considering other hosts lost. The tick that detects silence ran
@@ -45,7 +45,7 @@
     thread.executeWork(() -> order.add("work"));
     thread.executeWork(done::countDown);
     thread.execute(() -> order.add("heartbeat"));
-    now.addAndGet(LATE_MILLIS);
+    now.addAndGet(DELAY_MILLIS);
     released.countDown();
     done.await();
     thread.close();
@@ -75,7 +75,7 @@
     released.countDown();
     done.await();
     thread.executeDeferred(ticked::countDown);
-    now.addAndGet(LATE_MILLIS);
+    now.addAndGet(DELAY_MILLIS);
     ticked.await();
     thread.close();
     assertEquals(order, List.of("deferred", "work"));
--- a/burdockbay-server/src/test/java/org/burdockbay/server/node/HeartbeatScheduleTest.java
+++ b/burdockbay-server/src/test/java/org/burdockbay/server/node/HeartbeatScheduleTest.java
@@ -37,7 +37,7 @@
 
   /** Guards against floods from hosts that trigger each other or bursts of late heartbeats. */
   @Test
-  public void sendsAtMostTwicePerPeriod() {
+  public void sendsAtMostTwicePerInterval() {
     schedule.recordSent(List.of("a", "c"), START);
     assertFalse(schedule.triggersHeartbeat("a", START + INTERVAL / 2 - 1));
     schedule.recordSent(List.of("c"), START);
--- a/burdockbay-server/src/test/java/org/burdockbay/server/transport/InboundHandlerTest.java
+++ b/burdockbay-server/src/test/java/org/burdockbay/server/transport/InboundHandlerTest.java
@@ -33,7 +33,7 @@
     now = 10_000;
     received.clear();
     authenticatedHosts.clear();
-    Handshake there = new Handshake(settings("10.0.0.2"), 1);
+    Handshake remoteHandshake = new Handshake(settings("10.0.0.2"), 1);
     channel =
         new EmbeddedChannel(
             new InboundHandler(
@@ -44,7 +44,7 @@
                 () -> now,
                 new TransportCounters(new MetricRegistry()),
                 new EventLog("test")));
-    channel.writeInbound(Wire.Envelope.newBuilder().setHello(there.hello()).build());
+    channel.writeInbound(Wire.Envelope.newBuilder().setHello(remoteHandshake.hello()).build());
     channel.writeInbound(
         Wire.Envelope.newBuilder().setProof(Wire.Proof.getDefaultInstance()).build());
     assertEquals(authenticatedHosts, List.of("10.0.0.2"));
