--- a/burdockbay-server/src/main/java/org/burdockbay/server/Host.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/Host.java
@@ -96,7 +96,7 @@
   /** Drains the host, and waits until no request or job is in flight or the timeout expires. */
   private void drain(HostController controller, HttpServer http) throws InterruptedException {
     controller.drain();
-    // The load balancer sends requests, which are served, until it observes the lost readiness.
+    // Requests that the load balancer sends until it observes the lost readiness are served.
     Thread.sleep(READINESS_PROPAGATION_MILLIS);
     long deadline = parts.clock().millis() + parts.settings().drainTimeoutMillis();
     while (parts.clock().millis() < deadline && inFlightCount(controller) > 0) {
--- a/burdockbay-server/src/main/java/org/burdockbay/server/ServerException.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/ServerException.java
@@ -9,7 +9,7 @@
 
   private static final long serialVersionUID = 1L;
 
-  /** Creates an exception with a message that names the faulty item. */
+  /** Creates an exception; the message names the setting, file or address at fault. */
   public ServerException(String message) {
     super(ErrorKind.INTERNAL, message);
   }
--- a/burdockbay-server/src/main/java/org/burdockbay/server/host/HostController.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/host/HostController.java
@@ -163,7 +163,12 @@
         });
   }
 
-  /** Returns the number of requests and jobs in flight on this host. */
+  /**
+   * Returns the number of requests and jobs in flight on this host.
+   *
+   * <p>Called repeatedly during a planned stop; each call also requests the transfer of leadership,
+   * if this host leads.
+   */
   public CompletableFuture<Integer> inFlightCount() {
     return query(
         () -> {
--- a/burdockbay-server/src/main/java/org/burdockbay/server/node/HostDirectory.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/node/HostDirectory.java
@@ -15,7 +15,7 @@
  */
 final class HostDirectory {
 
-  /** Silence after which a host is removed, in milliseconds; longer than a power loss. */
+  /** Silence after which a host is removed, in milliseconds; longer than a power loss lasts. */
   static final long SILENCE_TIMEOUT_MILLIS = 60_000;
 
   private final HostDescriptor self;
--- a/burdockbay-server/src/main/java/org/burdockbay/server/node/NodeController.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/node/NodeController.java
@@ -255,7 +255,7 @@
         });
   }
 
-  /** Returns the number of callers waiting at, and of pieces of work dispatched by, this host. */
+  /** Returns the number of waiting callers plus the number of unanswered pieces of work. */
   public CompletableFuture<Integer> inFlightCount() {
     return query(workHandler::inFlightCount);
   }
@@ -424,9 +424,9 @@
   /**
    * Handles a control message.
    *
-   * <p>Reports of outcomes are control messages too. If a report were handled only after a change
-   * of dispatcher that it preceded, it would answer a caller whose work the next dispatcher
-   * continues.
+   * <p>Reports of outcomes are control messages too. In the work lane, a change of dispatcher that
+   * arrived later could overtake a report, which would then answer a caller whose work the next
+   * dispatcher continues.
    */
   private void handle(String host, PeerMessage message, long arrivedAt) {
     long now = clock.millis();
--- a/burdockbay-server/src/main/java/org/burdockbay/server/node/PeerSyncTracker.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/node/PeerSyncTracker.java
@@ -6,7 +6,7 @@
 import java.util.OptionalLong;
 
 /**
- * Tracks the messages that other hosts may have missed before a new connection.
+ * Determines the news that a host may have missed, which is sent to it on a new connection.
  *
  * <p>A full sync on each new connection would add load just when connections break because links
  * are saturated. A host that is still running is therefore sent only the news that it may have
--- a/burdockbay-server/src/main/java/org/burdockbay/server/node/UpstreamGossip.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/node/UpstreamGossip.java
@@ -19,8 +19,8 @@
  * Relays announcements and departures of upstreams to the local dispatcher and to all other hosts.
  *
  * <p>News for other hosts is batched for {@link #BATCH_INTERVAL_MILLIS}. A message for each
- * announcement would amount to a hundred messages per second and more, while a delay is harmless,
- * since an upstream that leaves may receive new tasks for several seconds.
+ * announcement would amount to a hundred messages per second and more. The delay is harmless, since
+ * an upstream that leaves may receive new tasks for several seconds anyway.
  */
 final class UpstreamGossip {
 
--- a/burdockbay-server/src/main/java/org/burdockbay/server/node/WorkHandler.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/node/WorkHandler.java
@@ -95,7 +95,7 @@
     return intake.waitingCallers() + dispatcher.unansweredCount();
   }
 
-  /** Returns the load, with the free capacity, of the upstreams that this host dispatches to. */
+  /** Returns the load and the free capacity of the upstreams that this host dispatches to. */
   DomainLoad load() {
     return dispatcher.load();
   }
--- a/burdockbay-server/src/main/java/org/burdockbay/server/storage/DataFolder.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/storage/DataFolder.java
@@ -18,7 +18,7 @@
  */
 public final class DataFolder implements AutoCloseable {
 
-  /** Incarnation of the folders that an operator creates for a new cluster. */
+  /** Incarnation of the folders of the initial voters of a new cluster. */
   public static final long BOOTSTRAP_INCARNATION = 1;
 
   private static final int FORMAT_VERSION = 1;
--- a/burdockbay-server/src/main/java/org/burdockbay/server/storage/SegmentReader.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/storage/SegmentReader.java
@@ -28,8 +28,8 @@
   /**
    * Begins the next segment.
    *
-   * <p>Until its base record is read, the segment is assumed to follow the last entry, as for one
-   * whose content was lost in a power loss.
+   * <p>Until its base record is read, the segment is assumed to follow the last entry. A segment
+   * that lost its content in a power loss has no base record.
    */
   void beginSegment() {
     segmentBaseIndex = lastIndex();
--- a/burdockbay-server/src/main/java/org/burdockbay/server/storage/StorageException.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/storage/StorageException.java
@@ -11,8 +11,8 @@
   /** The kind of failure. */
   public enum Fault {
     /**
-     * The folder belongs to another host or cluster, has another format, is no new folder where a
-     * new one is needed, or is in use by another process.
+     * The folder belongs to another host or cluster, has another format, is in use by another
+     * process, or can't become a new data folder because it is already initialised or not empty.
      */
     FOREIGN,
     /** A synced record is missing, damaged or undecodable. */
--- a/burdockbay-server/src/main/java/org/burdockbay/server/transport/TransportSettings.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/transport/TransportSettings.java
@@ -18,8 +18,8 @@
  * @param silenceTimeoutMillis time without traffic from the other host after which a connection is
  *     closed, in milliseconds
  * @param maxGapMillis longest gap between two messages on an inbound connection, in milliseconds;
- *     after a longer gap messages may be outdated, and the connection is closed; must exceed
- *     several heartbeat intervals
+ *     after a longer gap messages may be outdated, and the connection is closed; must cover several
+ *     heartbeat intervals
  */
 public record TransportSettings(
     String cluster,
--- a/burdockbay-server/src/main/java/org/burdockbay/server/web/WebListener.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/web/WebListener.java
@@ -80,7 +80,8 @@
   }
 
   /**
-   * Stops accepting connections, closes the idle ones, and each other one after its next response.
+   * Stops accepting connections, closes idle connections, and closes each of the others after its
+   * next response.
    *
    * <p>A load balancer with too few hosts left keeps opening connections to this one, and an open
    * connection could carry a request that arrives just before the process ends and is then cut off.
