--- a/burdockbay-server/src/test/java/org/burdockbay/server/node/HeartbeatScheduleTest.java
+++ b/burdockbay-server/src/test/java/org/burdockbay/server/node/HeartbeatScheduleTest.java
@@ -35,7 +35,10 @@
     assertTrue(schedule.triggersHeartbeat("a", START + INTERVAL));
   }
 
-  /** Guards against floods from hosts that trigger each other or bursts of late heartbeats. */
+  /**
+   * Guards against floods of heartbeats when hosts trigger each other, or when late heartbeats
+   * arrive in a burst.
+   */
   @Test
   public void sendsAtMostTwicePerInterval() {
     schedule.recordSent(List.of("a", "c"), START);
--- a/burdockbay-server/src/test/java/org/burdockbay/server/node/HostGossipTest.java
+++ b/burdockbay-server/src/test/java/org/burdockbay/server/node/HostGossipTest.java
@@ -46,7 +46,7 @@
     assertTrue(sentMessages.isEmpty());
   }
 
-  /** Guards against a number of messages at startup that grows with the cube of the hosts. */
+  /** Guards against a number of messages at startup that is cubic in the number of hosts. */
   @Test
   public void relaysOnlyDescriptorsReceivedFromTheirOwnHost() {
     directory.add(NEW, 5);
--- a/burdockbay-server/src/test/java/org/burdockbay/server/storage/LogWriterTest.java
+++ b/burdockbay-server/src/test/java/org/burdockbay/server/storage/LogWriterTest.java
@@ -16,7 +16,7 @@
 /** Tests failure reporting of {@link LogWriter}. */
 public class LogWriterTest {
 
-  /** If the writer's thread fails, the host must not go on as a voter that syncs nothing. */
+  /** If the writer's thread fails, the host must not continue as a voter that syncs nothing. */
   @Test
   public void reportsFailuresOfItsThread() throws Exception {
     ModelDisk disk = new ModelDisk(1);
