--- a/burdockbay-server/src/test/java/org/burdockbay/server/node/HeartbeatScheduleTest.java
+++ b/burdockbay-server/src/test/java/org/burdockbay/server/node/HeartbeatScheduleTest.java
@@ -35,9 +35,12 @@
     assertTrue(schedule.triggersHeartbeat("a", START + INTERVAL));
   }
 
-  /** Guards against floods from hosts that trigger each other or bursts of late heartbeats. */
+  /**
+   * Guards against floods of heartbeats when hosts trigger each other, or when late heartbeats
+   * arrive in a burst.
+   */
   @Test
-  public void sendsAtMostTwicePerPeriod() {
+  public void sendsAtMostTwicePerInterval() {
     schedule.recordSent(List.of("a", "c"), START);
     assertFalse(schedule.triggersHeartbeat("a", START + INTERVAL / 2 - 1));
     schedule.recordSent(List.of("c"), START);
