--- a/burdockbay-app/src/main/java/org/burdockbay/app/command/LoadCommand.java
+++ b/burdockbay-app/src/main/java/org/burdockbay/app/command/LoadCommand.java
@@ -47,8 +47,8 @@
 
   @Override
   public ExitCode run() throws BurdockbayException {
-    LoadMix kinds = LoadMix.parse(mixFile.toString(), DocumentFile.read(mixFile));
-    List<Arrival> plan = ArrivalPlan.generate(kinds, load, slots, seconds * 1000L, seed);
+    LoadMix mix = LoadMix.parse(mixFile.toString(), DocumentFile.read(mixFile));
+    List<Arrival> plan = ArrivalPlan.generate(mix, load, slots, seconds * 1000L, seed);
     LoadDriver driver =
         new LoadDriver(List.of(hosts.split(",")), token, "run" + System.currentTimeMillis());
     try {
--- a/burdockbay-app/src/main/java/org/burdockbay/app/command/RunnerCommand.java
+++ b/burdockbay-app/src/main/java/org/burdockbay/app/command/RunnerCommand.java
@@ -45,7 +45,7 @@
   private double slowFactor = 1.0;
 
   @Option(name = "--silent-starts", metaVar = "SHARE", usage = "run, but never answer, this share")
-  private double silentStarts;
+  private double silentStartShare;
 
   @Override
   public String summary() {
@@ -65,7 +65,7 @@
             slots,
             List.of(hosts.split(",")),
             token,
-            new RunnerFaults(failAll, slowFactor, 0.0, silentStarts));
+            new RunnerFaults(failAll, slowFactor, 0.0, silentStartShare));
     StandInRunner runner = new StandInRunner(options, new OkHttpClient());
     runner.start();
     Runtime.getRuntime()
