--- a/burdockbay-app/src/main/java/org/burdockbay/app/command/ApplyCommand.java
+++ b/burdockbay-app/src/main/java/org/burdockbay/app/command/ApplyCommand.java
@@ -67,7 +67,8 @@
       try {
         return client.post("/v1/operator/configuration", change, Map.of());
       } catch (BurdockbayException e) {
-        // The change id makes the request idempotent, so it is repeated when no answer arrived.
+        // The change id makes the request idempotent, so it can be repeated if the host was
+        // unavailable or its answer was lost.
         if (e.kind() != ErrorKind.UNAVAILABLE) {
           throw e;
         }
--- a/burdockbay-app/src/main/java/org/burdockbay/app/command/InitCommand.java
+++ b/burdockbay-app/src/main/java/org/burdockbay/app/command/InitCommand.java
@@ -20,8 +20,9 @@
 /**
  * Creates the data folder of an initial voter of a new cluster.
  *
- * <p>The folder holds the first state of the control group's log, with all voters of the settings.
- * A voter that lost its disk must not be initialised again: it rejoins under a new incarnation.
+ * <p>The folder holds the initial state of the control group's log, with all voters of the
+ * settings. A voter that lost its disk must not be initialised again: it rejoins under a new
+ * incarnation.
  */
 public final class InitCommand implements Command {
 
--- a/burdockbay-app/src/main/java/org/burdockbay/app/command/WatchCommand.java
+++ b/burdockbay-app/src/main/java/org/burdockbay/app/command/WatchCommand.java
@@ -35,7 +35,7 @@
     return ExitCode.OK;
   }
 
-  /** Returns false if the thread was interrupted. */
+  /** Waits for the poll interval; returns false if the thread was interrupted. */
   private static boolean sleepUntilNextPoll() {
     try {
       Thread.sleep(POLL_INTERVAL_MILLIS);
