--- a/burdockbay-app/src/test/java/org/burdockbay/app/TestCluster.java
+++ b/burdockbay-app/src/test/java/org/burdockbay/app/TestCluster.java
@@ -199,7 +199,8 @@
 
   /**
    * Waits until a condition holds. If a host that is expected to run has ended, the condition can't
-   * become true any more: the wait then fails immediately, with the end of that host's log.
+   * become true any more: the wait then fails immediately, with the end of that host's log, since
+   * successive waits that each time out after a minute would look like a hang.
    */
   void await(String description, Callable<Boolean> holds) throws Exception {
     long deadline = System.currentTimeMillis() + TIMEOUT_MILLIS;
