--- a/burdockbay-core/src/main/java/org/burdockbay/core/message/PeerMessage.java
+++ b/burdockbay-core/src/main/java/org/burdockbay/core/message/PeerMessage.java
@@ -126,7 +126,7 @@
     }
 
     /** Announcement with its age in milliseconds. */
-    public record Announced(UpstreamAnnouncement notice, long ageMillis) {}
+    public record Announced(UpstreamAnnouncement announcement, long ageMillis) {}
   }
 
   /** Lists the hosts known to the sender, which itself comes first. */
--- a/burdockbay-server/src/main/java/org/burdockbay/server/node/UpstreamGossip.java
+++ b/burdockbay-server/src/main/java/org/burdockbay/server/node/UpstreamGossip.java
@@ -100,7 +100,8 @@
   /** Handles news relayed by another host. */
   void handleNews(PeerMessage.UpstreamNews news, long now) {
     news.announced()
-        .forEach(announced -> recordAnnouncement(announced.notice(), announced.ageMillis(), now));
+        .forEach(
+            announced -> recordAnnouncement(announced.announcement(), announced.ageMillis(), now));
     for (UpstreamAnnouncement announcement : news.departed()) {
       registry
           .recordDeparture(announcement.id(), now)
@@ -137,10 +138,10 @@
         sent.news
             .announced()
             .forEach(
-                announcement ->
+                announced ->
                     missedAnnounced.add(
                         new PeerMessage.UpstreamNews.Announced(
-                            announcement.notice(), announcement.ageMillis() + now - sent.sentAt)));
+                            announced.announcement(), announced.ageMillis() + now - sent.sentAt)));
         missedDeparted.addAll(sent.news.departed());
       }
     }
--- a/burdockbay-server/src/test/java/org/burdockbay/server/node/UpstreamGossipTest.java
+++ b/burdockbay-server/src/test/java/org/burdockbay/server/node/UpstreamGossipTest.java
@@ -70,7 +70,7 @@
     gossip.upstreamAnnounced(announcement(2, true), 1_000);
     gossip.tick(1_000);
     PeerMessage.UpstreamNews last = (PeerMessage.UpstreamNews) sentMessages.getLast();
-    assertTrue(last.announced().getFirst().notice().leaving());
+    assertTrue(last.announced().getFirst().announcement().leaving());
   }
 
   /** Guards against losing news that was in flight when a connection broke. */
@@ -91,9 +91,9 @@
     return new PeerMessage.UpstreamNews(
         news.announced().stream()
             .map(
-                announcement ->
+                announced ->
                     new PeerMessage.UpstreamNews.Announced(
-                        announcement.notice(), announcement.ageMillis() + millis))
+                        announced.announcement(), announced.ageMillis() + millis))
             .toList(),
         news.departed());
   }
--- a/burdockbay-wire/src/main/java/org/burdockbay/wire/FleetCodec.java
+++ b/burdockbay-wire/src/main/java/org/burdockbay/wire/FleetCodec.java
@@ -15,7 +15,8 @@
     Wire.UpstreamNews.Builder builder = Wire.UpstreamNews.newBuilder();
     news.announced()
         .forEach(
-            announced -> builder.addAnnounced(encode(announced.notice(), announced.ageMillis())));
+            announced ->
+                builder.addAnnounced(encode(announced.announcement(), announced.ageMillis())));
     news.departed().forEach(announcement -> builder.addDeparted(encode(announcement, 0)));
     return builder.build();
   }
